--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecision measures one request through the scheduler, submitted,
-// placed and finished, with a number of servers and of others that wait.
+// BenchmarkDecision measures submitting, placing and finishing one request, with different numbers
+// of servers and of waiting requests.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ servers, waiting int }{{18, 0}, {18, 200}, {90, 0}, {90, 1000}} {
 		b.Run(fmt.Sprintf("servers=%d/waiting=%d", size.servers, size.waiting), func(b *testing.B) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkBlockedLane measures the same while hundreds of a less urgent lane wait
-// for the quota of their account: whoever looks for a request to place meets them.
+// BenchmarkBlockedLane measures the same while a thousand requests of a less urgent priority wait for
+// the quota of their account: each search for a request to place passes them.
 func BenchmarkBlockedLane(b *testing.B) {
 	s := newScheduler(90, 6)
 	s.SetAccounts(0, []Account{{Name: "hot", Rate: 1, Burst: 1}})
--- a/internal/sched/bucket.go
+++ b/internal/sched/bucket.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// bucket is a token bucket: rate units a second, at most burst of them kept.
+// bucket is a token bucket that refills at rate units a second up to burst.
 type bucket struct {
 	rate  float64
 	burst float64
 	level float64
 	at    Time
-	// held is set while the first half of the burst is kept back: the bucket was
-	// made by a host that is not the home.
-	held bool
+	// halfReserved is set while the first half of the burst is withheld, because the bucket was
+	// created by a host that is not the home.
+	halfReserved bool
 }
 
-// newBucket makes an account's bucket. It starts half full: the host that decided
-// before may have given out the other half.
+// newBucket returns an account's bucket. It starts half full: the host that decided before
+// may have given out the other half.
 //
-// Guard: of a host with a part of the quota it starts empty, and gets its half when
-// the host is the home. Hosts of a fleet that starts anew have less than a request
-// each; were that ready at once, each would let one pass on credit, and an account
-// would have its quota several times over in a second.
-func newBucket(now Time, rate, burst float64, whole bool) *bucket {
-	b := &bucket{rate: rate, burst: burst, at: now, held: !whole}
-	if whole {
+// At a host with a share of the quota it starts empty, and gets its half when the host becomes
+// the home. Hosts of a fleet that restarts have a share of less than one request each. If that
+// were available at once, each host would let one request pass on credit, and an account would
+// have its quota several times over within a second.
+func newBucket(now Time, rate, burst float64, fullQuota bool) *bucket {
+	b := &bucket{rate: rate, burst: burst, at: now, halfReserved: !fullQuota}
+	if fullQuota {
 		b.level = burst / 2
 	}
 	return b
@@ -35,8 +35,8 @@
 	}
 }
 
-// wait is how long the bucket needs until it can give units. A request larger
-// than the whole bucket passes when the bucket is full, and leaves a debt.
+// wait is the time until the bucket can provide units. A request larger than the whole bucket
+// passes when the bucket is full, and leaves a debt.
 func (b *bucket) wait(now Time, units float64) time.Duration {
 	b.refill(now)
 	missing := min(units, b.burst) - b.level
@@ -46,7 +46,8 @@
 	return time.Duration(missing / b.rate * float64(time.Second))
 }
 
-// waitBehind is wait for a request that has others of its account before it.
+// waitBehind is wait for a request that has others of its account before it, which need ahead
+// units.
 func (b *bucket) waitBehind(now Time, ahead, units float64) time.Duration {
 	if ahead == 0 {
 		return b.wait(now, units)
@@ -60,29 +61,29 @@
 	b.level -= units
 }
 
-// charge takes what was used elsewhere. It may leave a debt of one burst at most: what
-// was used longer ago is past the time over which quotas are counted.
+// charge takes what was used elsewhere. The debt is limited to one burst: what was used
+// longer ago is outside the time over which quotas are counted.
 func (b *bucket) charge(now Time, units float64) {
 	b.refill(now)
 	b.level = min(b.burst, max(b.level-units, min(b.level, -b.burst)))
 }
 
-func (b *bucket) give(now Time, units float64) {
+func (b *bucket) credit(now Time, units float64) {
 	b.refill(now)
 	b.level = min(b.burst, b.level+units)
 }
 
-// resize moves the bucket to another rate and burst. What is left never grows
-// by it, so a change back and forth gives nothing away.
+// resize sets another rate and burst. The level never grows by it, so a change back and forth
+// gives nothing away.
 func (b *bucket) resize(now Time, rate, burst float64) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
 	b.level = min(b.level, burst)
 }
 
-// rescale moves the bucket to another part of its account's quota. The part
-// that is left stays the same, but for a host that becomes the home it is at
-// most half: the home before it may have given out the other half.
+// rescale changes the bucket to another share of its account's quota. The filled fraction stays
+// the same, but at a host that becomes the home it is at most half: the home before it may have
+// given out the other half.
 func (b *bucket) rescale(now Time, factor float64) {
 	b.refill(now)
 	b.rate *= factor
@@ -91,8 +92,8 @@
 		b.level *= factor
 	}
 	if factor > 1 {
-		if b.held {
-			b.held = false
+		if b.halfReserved {
+			b.halfReserved = false
 			b.level += b.burst / 2
 		}
 		b.level = min(b.level, b.burst/2)
--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -1,8 +1,8 @@
 package sched
 
-// partCache is a guess at the prompt parts that a server keeps, from what was
-// placed there: the newest ones up to its memory.
-type partCache struct {
+// prefixCache estimates the prompt parts that a server has cached, from the requests placed
+// there: the most recently used ones that fit in its memory.
+type prefixCache struct {
 	capacity int // tokens, 0 when not known
 	tokens   int
 	parts    map[uint64]*cachedPart
@@ -13,13 +13,13 @@
 	used   Time
 }
 
-// maxCachedParts bounds the guess to about 12 KB a server. An engine of 350,000
-// tokens keeps about a hundred prompts of two parts.
+// maxCachedParts limits the estimate to about 12 KB per server. An engine of 350,000
+// tokens holds about a hundred prompts of two parts.
 const maxCachedParts = 256
 
-// held counts the leading tokens of a prompt that are kept: a part counts
-// only when all parts before it are kept too.
-func (c *partCache) held(parts []Part) int {
+// cachedTokens counts the leading tokens of a prompt that are cached: a part counts
+// only when all parts before it are cached too.
+func (c *prefixCache) cachedTokens(parts []Part) int {
 	n := 0
 	for _, p := range parts {
 		if c.parts[p.Key] == nil {
@@ -30,8 +30,8 @@
 	return n
 }
 
-// use notes that a prompt is read at the server.
-func (c *partCache) use(now Time, parts []Part) {
+// use records that a prompt is prefilled at the server.
+func (c *prefixCache) use(now Time, parts []Part) {
 	if c.parts == nil {
 		c.parts = map[uint64]*cachedPart{}
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// evict forgets the part that was used longest ago.
-func (c *partCache) evict() {
+// evict removes the least recently used part.
+func (c *prefixCache) evict() {
 	var oldest uint64
 	var found *cachedPart
 	for key, p := range c.parts {
--- a/internal/sched/fatal_load_test.go
+++ b/internal/sched/fatal_load_test.go
@@ -36,7 +36,7 @@
 type fatalDay struct {
 	s       *Scheduler
 	rng     *rand.Rand
-	agenda  agenda
+	agenda  eventQueue
 	next    uint64
 	engines int
 	live    map[string]bool
@@ -81,7 +81,7 @@
 	return quarantine.Of("POST", "h", "/", "account", fmt.Append(nil, n))
 }
 
-func (d *fatalDay) at(t Time, do func(Time)) { heap.Push(&d.agenda, happening{t, do}) }
+func (d *fatalDay) at(t Time, do func(Time)) { heap.Push(&d.agenda, simEvent{t, do}) }
 
 func (d *fatalDay) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(d.rng.Int64N(int64(most-least)))
@@ -217,7 +217,7 @@
 		d.at(t, func(at Time) { d.take(at, d.s.Tick(at)) })
 	}
 	for len(d.agenda) > 0 {
-		next := heap.Pop(&d.agenda).(happening)
+		next := heap.Pop(&d.agenda).(simEvent)
 		next.do(next.at)
 	}
 }
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -6,122 +6,123 @@
 	"time"
 )
 
-// need is what a server must give for a request to be worth placing there.
-type need struct {
-	inTime bool // its end before its deadline
-	onTime bool // its first event by its latency objective
-	pauses bool // no stream beside it paused for longer than is on time
-	// tooLate is set when no engine is fast enough for it to end before its deadline.
-	tooLate bool
-	// elsewhere is set when a usable server gives that when it is idle; then a request
-	// waits for one rather than take less.
-	elsewhere bool
+// requirements are the conditions that a server must meet for a request to be worth placing
+// there.
+type requirements struct {
+	byDeadline bool // it ends before its deadline
+	byTarget   bool // its first event comes by its latency target
+	limitPause bool // it pauses no other stream for longer than that stream's limit
+	// deadlineUnreachable is set when no engine is fast enough for the request to end before
+	// its deadline.
+	deadlineUnreachable bool
+	// worthWaiting is set when an idle usable server would meet a requirement. The request then
+	// waits for such a server rather than take a lesser one.
+	worthWaiting bool
 }
 
-// needs tells what r can have at all: what the fastest usable server would give it
-// with nothing else to do. That of which even this one is too slow is not asked of
-// any.
-func (s *Scheduler) needs(now Time, svc *service, fastest *server, r *Request) need {
+// requirementsOf determines which requirements r can have at all: those that the fastest
+// usable server would meet with nothing else to do. What is out of reach even there is not
+// required of any server.
+func (s *Scheduler) requirementsOf(now Time, svc *service, fastest *server, r *Request) requirements {
 	if fastest != nil && !fastest.open(now, r) {
 		fastest = svc.fastest(now, r)
 	}
 	if fastest == nil {
-		return need{}
+		return requirements{}
 	}
-	p := fastest.idle(svc, r)
-	n := need{inTime: now+p.total <= r.Deadline}
+	p := fastest.predictIdle(svc, r)
+	reqs := requirements{byDeadline: now+p.total <= r.Deadline}
 	if svc.Engine {
-		n.onTime = s.policy.AwaitOnTime && now+p.first <= r.Aim
-		n.pauses = s.policy.SparePauses && p.prefill+svc.eventTime(fastest) <= r.MaxPause
+		reqs.byTarget = s.policy.AwaitOnTime && now+p.first <= r.Aim
+		reqs.limitPause = s.policy.SparePauses && p.prefill+svc.eventTime(fastest) <= r.MaxPause
 	}
-	n.tooLate = svc.Engine && !n.inTime
-	n.elsewhere = n.inTime || n.onTime || n.pauses
-	return n
+	reqs.deadlineUnreachable = svc.Engine && !reqs.byDeadline
+	reqs.worthWaiting = reqs.byDeadline || reqs.byTarget || reqs.limitPause
+	return reqs
 }
 
-// met reports whether srv can give r what it needs. What srv has to do besides
-// counts for the streams beside r only: it is predicted too roughly to hold r back,
-// and r would rather be a little late there than later elsewhere.
-func (n need) met(now Time, svc *service, srv *server, r *Request) bool {
-	p := srv.idle(svc, r)
-	if n.inTime && now+p.total > r.Deadline || n.onTime && now+p.first > r.Aim {
+// metBy reports whether srv meets the requirements of r. The other load of srv counts only
+// for the streams beside r: its prediction is too rough to hold r back, and being slightly
+// late at srv is better for r than being later elsewhere.
+func (reqs requirements) metBy(now Time, svc *service, srv *server, r *Request) bool {
+	p := srv.predictIdle(svc, r)
+	if reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.Aim {
 		return false
 	}
-	return !n.pauses || float64(r.PromptTokens) <= srv.spare(now, svc)
+	return !reqs.limitPause || float64(r.PromptTokens) <= srv.prefillHeadroom(now, svc)
 }
 
-// spare is how many prompt tokens can be added to what is to be read at srv so that
-// the streams that run there stay on time.
+// prefillHeadroom is how many prompt tokens can be added to the pending prefill of s so that
+// the streams that run there stay within their maximum pause.
 //
-// Guard: engines read prompts in pieces between the tokens of the streams that run.
-// While one reads, a stream gets a token for each piece: on an engine that is four
-// times slower than the others a long prompt stops all streams beside it for longer
-// than their callers count as on time. The whole of what is to be read bounds the
-// pause of one event.
-func (s *server) spare(now Time, svc *service) float64 {
-	most := time.Duration(math.MaxInt64)
+// Engines prefill prompts in chunks between the tokens of the running streams. During a
+// prefill a stream gets one token per chunk: on an engine that is four times slower than the
+// others, a long prompt pauses all its streams for longer than their callers accept. The
+// time of the whole pending prefill is the upper bound for the pause before one event.
+func (s *server) prefillHeadroom(now Time, svc *service) float64 {
+	maxPause := time.Duration(math.MaxInt64)
 	for _, r := range s.runs {
 		if r.req.MaxPause > 0 {
-			most = min(most, r.req.MaxPause)
+			maxPause = min(maxPause, r.req.MaxPause)
 		}
 	}
-	if most == math.MaxInt64 {
+	if maxPause == math.MaxInt64 {
 		return math.Inf(1)
 	}
-	left := most - max(0, s.prefillFree-now) - svc.eventTime(s)
-	return float64(left) / (svc.readShare * float64(s.tokenTime))
+	remaining := maxPause - max(0, s.prefillFree-now) - svc.eventTime(s)
+	return float64(remaining) / (svc.prefillRatio * float64(s.tokenTime))
 }
 
-// offer is the servers with room, and the most that any of them can give. With
-// thousands of requests in line before engines that fit none of them, the most tells
-// without a look at each.
-type offer struct {
-	usable  *server // the fastest of all that are usable, full or not
-	free    []*server
-	fastest *server // of free
-	spare   float64 // the largest of free
+// candidates are the servers with room, and the best that any of them can provide. With
+// thousands of waiting requests and engines that suit none of them, the best shows this
+// without a look at each engine.
+type candidates struct {
+	fastestUsable   *server // of all usable servers, with or without room
+	free            []*server
+	fastestFree     *server // of free
+	prefillHeadroom float64 // maximum of free
 }
 
-func (s *Scheduler) offer(now Time, svc *service, free []*server) *offer {
-	o := &offer{usable: svc.fastest(now, nil), free: free}
-	o.measure(now, svc)
-	return o
+func (s *Scheduler) candidates(now Time, svc *service, free []*server) *candidates {
+	c := &candidates{fastestUsable: svc.fastest(now, nil), free: free}
+	c.update(now, svc)
+	return c
 }
 
-// contended reports whether others wait for the only place that is to be had.
+// contended reports whether other requests wait for the only free slot.
 //
-// Guard: the longest answers come to their turn last in a burst, when they can't end any
-// more before their callers give up. Each took a place for seconds then, in vain, while others
-// were refused for want of it.
-func (o *offer) contended(svc *service) bool { return len(o.free) == 1 && svc.queue.size > 1 }
+// In a burst the longest answers reach the head of the queue last, when they can no longer
+// end before their callers give up. Each would occupy a slot for seconds in vain while other
+// requests are refused for want of one.
+func (c *candidates) contended(svc *service) bool { return len(c.free) == 1 && svc.queue.size > 1 }
 
-func (o *offer) measure(now Time, svc *service) {
-	o.fastest, o.spare = nil, math.Inf(-1)
-	for _, srv := range o.free {
-		if o.fastest == nil || srv.tokenTime < o.fastest.tokenTime {
-			o.fastest = srv
+func (c *candidates) update(now Time, svc *service) {
+	c.fastestFree, c.prefillHeadroom = nil, math.Inf(-1)
+	for _, srv := range c.free {
+		if c.fastestFree == nil || srv.tokenTime < c.fastestFree.tokenTime {
+			c.fastestFree = srv
 		}
-		o.spare = max(o.spare, srv.spare(now, svc))
+		c.prefillHeadroom = max(c.prefillHeadroom, srv.prefillHeadroom(now, svc))
 	}
 }
 
-// taken notes that a request was placed at srv, which has room for another or not.
-func (o *offer) taken(now Time, svc *service, srv *server, room bool) {
+// onPlaced updates the candidates after a placement at srv; room tells whether srv can take
+// another request.
+func (c *candidates) onPlaced(now Time, svc *service, srv *server, room bool) {
 	if !room {
-		o.free = slices.DeleteFunc(o.free, func(f *server) bool { return f == srv })
+		c.free = slices.DeleteFunc(c.free, func(f *server) bool { return f == srv })
 	}
-	o.measure(now, svc)
+	c.update(now, svc)
 }
 
-// possible reports whether a server offered may give r what it needs, or r takes what
-// there is.
-func (n need) possible(now Time, svc *service, o *offer, r *Request) bool {
-	if !n.elsewhere || o.fastest == nil {
+// satisfiable reports whether a candidate may meet the requirements of r, or r takes any.
+func (reqs requirements) satisfiable(now Time, svc *service, c *candidates, r *Request) bool {
+	if !reqs.worthWaiting || c.fastestFree == nil {
 		return true
 	}
-	p := o.fastest.idle(svc, r)
-	return !(n.inTime && now+p.total > r.Deadline || n.onTime && now+p.first > r.Aim ||
-		n.pauses && float64(r.PromptTokens) > o.spare)
+	p := c.fastestFree.predictIdle(svc, r)
+	return !(reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.Aim ||
+		reqs.limitPause && float64(r.PromptTokens) > c.prefillHeadroom)
 }
 
 // eventTime is how long a server takes for one event of a stream.
@@ -129,9 +130,9 @@
 	return time.Duration(max(1, svc.Stride)) * srv.tokenTime
 }
 
-// fastest returns the usable server that generates fastest, full or not, nil when there is
-// none; of those open to r unless that is nil. One whose limit it has reached may open in
-// seconds only.
+// fastest returns the usable server with the shortest token time, whether it has room or not,
+// or nil when there is none; if r is not nil, of the servers that are open to r. Servers at
+// their rate limit are left out, as they may take seconds to open again.
 func (svc *service) fastest(now Time, r *Request) *server {
 	var best *server
 	for _, srv := range svc.servers {
@@ -145,21 +146,20 @@
 	return best
 }
 
-// idle is what r would take at s without others before it and with nothing of its
-// prompt kept.
-func (s *server) idle(svc *service, r *Request) prediction {
-	first := svc.firstAt(s.tokenTime, r)
+// predictIdle predicts r at s without other load and with nothing of its prompt cached.
+func (s *server) predictIdle(svc *service, r *Request) prediction {
+	first := svc.idleTimeToFirstEvent(s.tokenTime, r)
 	if !svc.Engine {
 		return prediction{first: first, total: first}
 	}
 	return prediction{prefill: first - s.tokenTime, first: first, total: first + time.Duration(r.OutputTokens)*s.tokenTime}
 }
 
-// firstAt is when the first event or whole answer of r comes from an idle server that
-// generates a token in tokenTime and keeps nothing of its prompt.
-func (svc *service) firstAt(tokenTime time.Duration, r *Request) time.Duration {
+// idleTimeToFirstEvent is the time until the first event or the whole answer of r from an idle
+// server with the given token time that has nothing of its prompt cached.
+func (svc *service) idleTimeToFirstEvent(tokenTime time.Duration, r *Request) time.Duration {
 	if !svc.Engine {
 		return svc.callTime()
 	}
-	return time.Duration((float64(r.PromptTokens)*svc.readShare + 1) * float64(tokenTime))
+	return time.Duration((float64(r.PromptTokens)*svc.prefillRatio + 1) * float64(tokenTime))
 }
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -5,86 +5,85 @@
 	"time"
 )
 
-// serverTime is the time of servers given out lately, in seconds; older time fades.
+// serverTime is an exponentially decaying sum of allocated server time, in seconds.
 type serverTime struct {
 	seconds float64
 	at      Time
 }
 
-// serverTimeMemory is the time in which older time fades to a third: a few times what an
-// answer takes, so that one long answer does not fill a lane's share for long.
-const serverTimeMemory = 2 * time.Second
+// serverTimeDecay is the time constant of the decay. It is a few times the duration of an
+// answer, so that one long answer does not use up a priority's share for long.
+const serverTimeDecay = 2 * time.Second
 
 func (t *serverTime) add(now Time, d time.Duration) {
-	t.seconds = t.now(now) + d.Seconds()
+	t.seconds = t.valueAt(now) + d.Seconds()
 	t.at = now
 }
 
-func (t *serverTime) now(now Time) float64 {
-	return t.seconds * math.Exp(-float64(now-t.at)/float64(serverTimeMemory))
+func (t *serverTime) valueAt(now Time) float64 {
+	return t.seconds * math.Exp(-float64(now-t.at)/float64(serverTimeDecay))
 }
 
-// work is the time of a server that r is expected to take: of an engine the reading of its prompt,
-// and its part of the steps that it shares with others.
+// work is the server time that r is expected to take: at an engine the prefill of its prompt and
+// its share of the steps that it runs in with others.
 func (svc *service) work(r *Request) time.Duration {
 	if !svc.Engine || len(svc.servers) == 0 {
 		return svc.callTime()
 	}
 	slots := float64(max(1, svc.servers[0].Slots))
-	tokens := float64(r.PromptTokens)*svc.readShare + float64(r.OutputTokens)/slots
+	tokens := float64(r.PromptTokens)*svc.prefillRatio + float64(r.OutputTokens)/slots
 	return time.Duration(tokens * float64(svc.typicalTokenTime()))
 }
 
-// floorAfter is the part of its time to be on time that a request has waited before
-// the floor helps it: in a short burst the order between lanes stays strict.
-const floorAfter = 0.25
+// minShareWaitFraction is the fraction of the time to its latency target that a request must have
+// waited before the minimum share applies to it. In a short burst the priority order stays strict.
+const minShareWaitFraction = 0.25
 
-// floorPause is how long a lane is not looked at again after nobody in it could be
-// placed: thousands may wait there for their accounts' quotas, and places open
-// hundreds of times a second.
-const floorPause = 20 * time.Millisecond
+// minShareRetryInterval is how long a priority queue is skipped after none of its requests could
+// be placed: thousands may wait there for their accounts' quotas, and slots open hundreds of times
+// a second.
+const minShareRetryInterval = 20 * time.Millisecond
 
-// fillShort places requests of the lanes that have had less than their share of the
-// servers' time, before all others; only such as have waited and can be on time.
+// fillUnderserved places requests of the priorities that have had less than their minimum share of
+// the servers' time, before all others. It places only requests that have waited and can meet their
+// latency target.
 //
-// Guard: with strict order between lanes the last one gets nothing through a long
-// overload, its callers are refused twice and leave, while its whole work is a tenth
-// of what the lanes before it take.
-func (s *Scheduler) fillShort(now Time, svc *service, o *offer) {
-	if s.policy.FloorShare <= 0 || len(svc.queue.lanes) < 2 {
+// With strict priority order the last priority gets nothing through a long overload: its callers are
+// refused twice and give up, although its whole work is a tenth of what the priorities before it take.
+func (s *Scheduler) fillUnderserved(now Time, svc *service, c *candidates) {
+	if s.policy.FloorShare <= 0 || len(svc.queue.priorityQueues) < 2 {
 		return
 	}
 	total := 0.0
-	for _, l := range svc.queue.lanes {
-		total += l.given.now(now)
+	for _, pq := range svc.queue.priorityQueues {
+		total += pq.allocated.valueAt(now)
 	}
-	for _, l := range svc.queue.lanes[1:] {
-		if now >= l.floorFrom && !s.fillFloor(now, svc, l, o, s.policy.FloorShare*total) {
-			l.floorFrom = now + floorPause
+	for _, pq := range svc.queue.priorityQueues[1:] {
+		if now >= pq.nextShareCheck && !s.fillUpToShare(now, svc, pq, c, s.policy.FloorShare*total) {
+			pq.nextShareCheck = now + minShareRetryInterval
 		}
-		if len(o.free) == 0 {
+		if len(c.free) == 0 {
 			return
 		}
 	}
 }
 
-// fillFloor places requests of l until it has had most, and reports whether it placed
-// any.
-func (s *Scheduler) fillFloor(now Time, svc *service, l *lane, o *offer, most float64) (placed bool) {
+// fillUpToShare places requests of pq until it has had maxTime, and reports whether it placed any.
+func (s *Scheduler) fillUpToShare(now Time, svc *service, pq *priorityQueue, c *candidates, maxTime float64) (placed bool) {
 	each := func(w *waiting) (drop, stop bool) {
-		if l.given.now(now) >= most {
+		if pq.allocated.valueAt(now) >= maxTime {
 			return false, true
 		}
-		young := float64(now-w.Arrived) < floorAfter*float64(w.Aim-w.Arrived)
-		if young || now+svc.firstAt(svc.typicalTokenTime(), &w.Request) > w.Aim {
+		tooEarly := float64(now-w.Arrived) < minShareWaitFraction*float64(w.Aim-w.Arrived)
+		if tooEarly || now+svc.idleTimeToFirstEvent(svc.typicalTokenTime(), &w.Request) > w.Aim {
 			return false, false
 		}
-		drop = s.try(now, svc, o, w)
+		drop = s.tryPlace(now, svc, c, w)
 		placed = placed || drop
-		return drop, len(o.free) == 0
+		return drop, len(c.free) == 0
 	}
-	if !svc.queue.eachOf(&l.fresh, each) {
-		svc.queue.eachOf(&l.late, each)
+	if !svc.queue.eachOf(&pq.onTime, each) {
+		svc.queue.eachOf(&pq.late, each)
 	}
 	return placed
 }
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// mostHandover bounds the places given for handovers, as a part of a server's slots. A
-// longer handover is a pause of hosts or links, in which more places would only fill the
+// maxHandoverShare limits the extra placements for handovers, as a fraction of a server's slots.
+// A longer handover is a pause of hosts or links, in which extra placements would only fill the
 // server's own queue.
-const mostHandover = 0.5
+const maxHandoverShare = 0.5
 
-// learnHandover learns from a plain call how long its place was taken beyond the time
-// that its server had it: the place on its way to the holder, a connection, and the end
-// on its way back.
-func (svc *service) learnHandover(taken, call time.Duration) {
+// learnHandover learns from a plain call how long its placement lasted beyond the time that its
+// server had the call: while the placement is sent to the holder, a connection is opened, and the
+// report of the end is sent back.
+func (svc *service) learnHandover(occupied, call time.Duration) {
 	if !svc.Engine {
-		svc.handover.add(max(0, taken-call))
+		svc.handoverTime.add(max(0, occupied-call))
 	}
 }
 
-// handoverPlaces is how many more places a plain service's server is given, so that its
-// slots are at work while places change hands.
+// handoverSlots is how many placements a plain service's server is given beyond its slots, so that
+// its slots are busy while one call follows another.
 //
-// Guard: a server whose places are as many as its slots stands still for a part of each
-// of them from the end of one call until the next one comes. Calls of 60 ms with hosts in
-// five availability zones lose a tenth of the servers so, just when callers are refused
-// for want of them; a call that waits in its server for these few milliseconds is not
-// later than one that waits here. Engines' runs last so long that they lose nothing.
-func (svc *service) handoverPlaces(srv *server) float64 {
-	if svc.Engine || svc.handover.mean == 0 {
+// With as many placements as slots, each slot is idle from the end of one call until the next one
+// arrives. With calls of 60 ms and hosts in five availability zones this loses a tenth of the
+// servers' capacity, just when callers are refused for want of it. A call that queues in its server
+// for these few milliseconds is no later than one that waits here. Runs at engines last so long that
+// the loss is negligible.
+func (svc *service) handoverSlots(srv *server) float64 {
+	if svc.Engine || svc.handoverTime.mean == 0 {
 		return 0
 	}
-	part := float64(svc.handover.mean) / float64(svc.callTime())
-	return float64(srv.Slots) * min(mostHandover, part)
+	share := float64(svc.handoverTime.mean) / float64(svc.callTime())
+	return float64(srv.Slots) * min(maxHandoverShare, share)
 }
 
-// callTime is what a plain call takes at a server, as learned.
+// callTime is the learned duration of a plain call at a server.
 func (svc *service) callTime() time.Duration {
-	if svc.Engine || svc.lead.mean == 0 {
-		return plainCall
+	if svc.Engine || svc.timeToFirstEvent.mean == 0 {
+		return defaultCallTime
 	}
-	return svc.lead.mean
+	return svc.timeToFirstEvent.mean
 }
--- a/internal/sched/handover_test.go
+++ b/internal/sched/handover_test.go
@@ -10,60 +10,60 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load of confirmations at lockers: a plain service of 6 copies with 6 slots, calls of
-// 60 ms, and as many of them for ten seconds as the copies can do when none of their slots
-// is ever idle. Hosts and copies are spread over five availability zones: a place is 5 ms
-// on its way to the copy, and the word of a call's end 5 ms on its way back.
+// A plain service of 6 servers with 6 slots and calls of 60 ms on average, at a rate for ten seconds
+// that the servers can just serve when none of their slots is ever idle. Hosts and servers are spread
+// over five availability zones: a placement takes 5 ms to reach the server, and the report of a call's
+// end takes 5 ms back.
 const (
-	plainCopies  = 6
+	plainServers = 6
 	plainSlots   = 6
-	plainMean    = 60 * ms
-	plainReach   = 5 * ms
-	plainRate    = 580 // calls a second, of 600 that the slots can do
+	meanCallTime = 60 * ms
+	networkDelay = 5 * ms
+	plainRate    = 580 // calls a second, of 600 that the slots can serve
 	plainLength  = 10 * time.Second
 	plainTimeout = 800 * ms
 )
 
-// plainCopy works on calls in the order of their arrival.
-type plainCopy struct {
+// plainServer runs calls in order of arrival.
+type plainServer struct {
 	busy    int
 	waiting []func(now Time)
 }
 
-// plainDay plays the load.
-type plainDay struct {
-	s      *Scheduler
-	agenda agenda
-	rng    *rand.Rand
-	copies map[string]*plainCopy
-	asked  map[uint64]Time
-	served int
-	late   int
+// plainSimulation plays the load on a simulated clock.
+type plainSimulation struct {
+	s        *Scheduler
+	events   eventQueue
+	rng      *rand.Rand
+	servers  map[string]*plainServer
+	arrivals map[uint64]Time
+	served   int
+	late     int
 }
 
-func newPlainDay(handovers bool) *plainDay {
+func newPlainSimulation(handovers bool) *plainSimulation {
 	p := DefaultPolicy()
 	p.Handovers = handovers
-	d := &plainDay{
+	d := &plainSimulation{
 		s: New(p), rng: rand.New(rand.NewPCG(5, 1)),
-		copies: map[string]*plainCopy{}, asked: map[uint64]Time{},
+		servers: map[string]*plainServer{}, arrivals: map[uint64]Time{},
 	}
 	d.s.SetServices(0, []Service{{Name: "app"}})
 	var list []Server
-	for i := range plainCopies {
+	for i := range plainServers {
 		id := fmt.Sprintf("c%d", i)
-		d.copies[id] = &plainCopy{}
+		d.servers[id] = &plainServer{}
 		list = append(list, Server{ID: id, Service: "app", Slots: plainSlots})
 	}
 	d.s.SetServers(0, list)
 	return d
 }
 
-func (d *plainDay) at(t Time, do func(Time)) { heap.Push(&d.agenda, happening{t, do}) }
+func (d *plainSimulation) at(t Time, do func(Time)) { heap.Push(&d.events, simEvent{t, do}) }
 
-func (d *plainDay) arrive(now Time) {
-	id := uint64(len(d.asked) + 1)
-	d.asked[id] = now
+func (d *plainSimulation) arrive(now Time) {
+	id := uint64(len(d.arrivals) + 1)
+	d.arrivals[id] = now
 	out, _ := d.s.Submit(now, Request{
 		Key: Key{Holder: 1, ID: id}, Service: "app", Arrived: now, Aim: now + 300*ms, Deadline: now + plainTimeout,
 	})
@@ -73,20 +73,20 @@
 	}
 }
 
-func (d *plainDay) apply(now Time, out []Decision) {
+func (d *plainSimulation) apply(now Time, out []Decision) {
 	for _, o := range out {
 		if o.Reason == 0 {
-			d.at(now+plainReach, func(now Time) { d.begin(now, o) })
+			d.at(now+networkDelay, func(now Time) { d.begin(now, o) })
 		}
 	}
 }
 
-// begin brings a call to its copy.
-func (d *plainDay) begin(now Time, o Decision) {
-	c := d.copies[o.Server]
+// begin delivers a call to its server.
+func (d *plainSimulation) begin(now Time, o Decision) {
+	c := d.servers[o.Server]
 	work := func(start Time) {
 		c.busy++
-		d.at(start+time.Duration(float64(plainMean)*(0.5+d.rng.Float64())), func(end Time) { d.end(end, now, o) })
+		d.at(start+time.Duration(float64(meanCallTime)*(0.5+d.rng.Float64())), func(end Time) { d.end(end, now, o) })
 	}
 	if c.busy == plainSlots {
 		c.waiting = append(c.waiting, work)
@@ -95,8 +95,8 @@
 	work(now)
 }
 
-func (d *plainDay) end(now, sent Time, o Decision) {
-	c := d.copies[o.Server]
+func (d *plainSimulation) end(now, sent Time, o Decision) {
+	c := d.servers[o.Server]
 	c.busy--
 	if len(c.waiting) > 0 {
 		next := c.waiting[0]
@@ -104,45 +104,44 @@
 		next(now)
 	}
 	d.served++
-	if now-d.asked[o.ID] > 300*ms {
+	if now-d.arrivals[o.ID] > 300*ms {
 		d.late++
 	}
-	d.at(now+plainReach, func(now Time) {
-		d.apply(now, d.s.Finish(now, Outcome{Key: o.Key, Result: OK, First: now - plainReach - sent}))
+	d.at(now+networkDelay, func(now Time) {
+		d.apply(now, d.s.Finish(now, Outcome{Key: o.Key, Result: OK, First: now - networkDelay - sent}))
 	})
 }
 
-func (d *plainDay) play() {
+func (d *plainSimulation) run() {
 	d.at(0, d.arrive)
 	for t := 10 * ms; t < plainLength+time.Second; t += 10 * ms {
 		d.at(t, func(now Time) { d.apply(now, d.s.Tick(now)) })
 	}
-	for d.agenda.Len() > 0 {
-		h := heap.Pop(&d.agenda).(happening)
+	for d.events.Len() > 0 {
+		h := heap.Pop(&d.events).(simEvent)
 		h.do(h.at)
 	}
 }
 
 var _ = Describe("plain calls in a burst", func() {
-	// A parent stands at a locker and is told that no server had room, while each copy of
-	// the service stands still for a seventh of its time: a place is free at the home only
-	// when the word of the last call's end has come, and taken at the copy only when the
-	// next call has.
-	It("are served by slots that do not wait for them", func() {
-		with, without := newPlainDay(true), newPlainDay(false)
-		with.play()
-		without.play()
-		asked := len(with.asked)
-		share := func(n int) float64 { return float64(n) / float64(asked) }
+	// Callers are refused for want of a server while each server is idle for a seventh of its time: a slot
+	// is free at the home only when the report of the last call's end has arrived, and busy at the server
+	// only when the next call has.
+	It("keep the slots busy during handovers", func() {
+		with, without := newPlainSimulation(true), newPlainSimulation(false)
+		with.run()
+		without.run()
+		arrivals := len(with.arrivals)
+		share := func(n int) float64 { return float64(n) / float64(arrivals) }
 		Expect(share(without.served)).To(BeNumerically("<", 0.93))
 		Expect(share(with.served)).To(BeNumerically(">", share(without.served)+0.04))
 		Expect(share(with.served - with.late)).To(BeNumerically(">", share(without.served-without.late)+0.04))
 	})
 
-	It("do not fill a copy's own queue when hosts stand still", func() {
+	It("do not fill a server's own queue when hosts pause", func() {
 		svc := &service{Service: Service{Name: "app"}}
-		svc.lead.add(plainMean)
-		svc.learnHandover(10*time.Second, plainMean)
-		Expect(svc.handoverPlaces(&server{Server: Server{Slots: plainSlots}})).To(BeNumerically("<=", mostHandover*plainSlots))
+		svc.timeToFirstEvent.add(meanCallTime)
+		svc.learnHandover(10*time.Second, meanCallTime)
+		Expect(svc.handoverSlots(&server{Server: Server{Slots: plainSlots}})).To(BeNumerically("<=", maxHandoverShare*plainSlots))
 	})
 })
--- a/internal/sched/inventory.go
+++ b/internal/sched/inventory.go
@@ -16,7 +16,7 @@
 		b.rescale(now, factor)
 	}
 	for _, svc := range s.services {
-		svc.retries.rescale(now, factor)
+		svc.retryBudget.rescale(now, factor)
 	}
 	s.share = share
 	for _, srv := range s.servers {
@@ -33,7 +33,7 @@
 		svc := s.services[spec.Name]
 		if svc == nil {
 			burst := s.policy.RetryBurst * s.share.Limits
-			svc = &service{retries: bucket{burst: burst, level: burst, at: now}, readShare: firstReadShare, versions: s.versionsOf(spec.Name)}
+			svc = &service{retryBudget: bucket{burst: burst, level: burst, at: now}, prefillRatio: initialPrefillRatio, versions: s.versionsOf(spec.Name)}
 			s.services[spec.Name] = svc
 		}
 		svc.Service = spec
@@ -58,7 +58,7 @@
 		rate, burst := a.Rate*s.share.Limits, math.Max(1, a.Burst*s.share.Limits)
 		b := s.accounts[a.Name]
 		if b == nil {
-			b = newBucket(now, rate, burst, s.wholeQuotas())
+			b = newBucket(now, rate, burst, s.hasFullQuotas())
 		} else {
 			b.resize(now, rate, burst)
 		}
--- a/internal/sched/kept.go
+++ b/internal/sched/kept.go
@@ -2,52 +2,53 @@
 
 import "maps"
 
-// prunedFrom is the number of holders from which those without connections are
-// looked for.
-const prunedFrom = 32
+// pruneThreshold is the number of holders from which those without open connections are
+// removed.
+const pruneThreshold = 32
 
-// connections guesses which holders keep idle connections to a server, from the runs
-// that ended and began there. The zero value knows of none.
-type connections struct{ byHolder map[uint64]*keptConnections }
+// idleConnections estimates which holders have idle connections to a server, from the runs
+// that started and ended there. The zero value has none.
+type idleConnections struct{ byHolder map[uint64]*holderConnections }
 
-type keptConnections struct {
+type holderConnections struct {
 	idle int
 	at   Time // when the newest became idle
 }
 
-func (c *connections) has(now Time, holder uint64) bool {
+func (c *idleConnections) hasIdle(now Time, holder uint64) bool {
 	k := c.byHolder[holder]
-	return k != nil && k.idle > 0 && now-k.at < keptFor
+	return k != nil && k.idle > 0 && now-k.at < connectionIdleTimeout
 }
 
-// keep notes that a run of holder ended whole, so that its connection is idle.
-func (c *connections) keep(now Time, holder uint64) {
+// release records that a run of holder ended with its whole answer, so that its connection
+// is idle.
+func (c *idleConnections) release(now Time, holder uint64) {
 	if c.byHolder == nil {
-		c.byHolder = map[uint64]*keptConnections{}
+		c.byHolder = map[uint64]*holderConnections{}
 	}
 	k := c.byHolder[holder]
 	if k == nil {
 		c.prune(now)
-		k = &keptConnections{}
+		k = &holderConnections{}
 		c.byHolder[holder] = k
 	}
-	if now-k.at >= keptFor {
+	if now-k.at >= connectionIdleTimeout {
 		k.idle = 0
 	}
 	k.idle, k.at = k.idle+1, now
 }
 
-// prune forgets holders whose connections are closed by now: with hundreds of hosts
-// before hundreds of servers most pairs meet seldom.
-func (c *connections) prune(now Time) {
-	if len(c.byHolder) < prunedFrom {
+// prune removes holders whose connections are closed by now: with hundreds of hosts and
+// hundreds of servers, most pairs seldom use their connection.
+func (c *idleConnections) prune(now Time) {
+	if len(c.byHolder) < pruneThreshold {
 		return
 	}
-	maps.DeleteFunc(c.byHolder, func(_ uint64, k *keptConnections) bool { return now-k.at >= keptFor })
+	maps.DeleteFunc(c.byHolder, func(_ uint64, k *holderConnections) bool { return now-k.at >= connectionIdleTimeout })
 }
 
-// use notes that a run of holder begins, on an idle connection where there is one.
-func (c *connections) use(holder uint64) {
+// acquire records that a run of holder starts, on an idle connection if there is one.
+func (c *idleConnections) acquire(holder uint64) {
 	if k := c.byHolder[holder]; k != nil && k.idle > 0 {
 		k.idle--
 	}
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -13,10 +13,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load of a heavy day: 18 engines of 8 places, a third of them at 0.6 and
-// the others at 1.7 of the middling speed, and a burst of three kinds at twice
-// what they can serve. All accounts have the same priority; the kinds differ in
-// worth, length and time. A caller that is refused comes back once, when told.
+// An overload of 18 engines with 8 slots, a third of them at 0.6 and the others at 1.7 of the
+// nominal speed, by a burst of three kinds of requests at twice the rate that they can serve. The
+// kinds differ in priority, length and deadline; the priority does not depend on the account. A
+// caller that is refused retries once, after the delay that it was told.
 const (
 	loadEngines = 18
 	loadSlots   = 8
@@ -24,74 +24,74 @@
 	burstLength = 6 * time.Second
 )
 
-// loadKind is one kind of request; sizes are means of exponential draws.
+// loadKind is one kind of request. Sizes are means of exponential distributions.
 type loadKind struct {
 	priority, prompt, output int
 	aim, deadline            time.Duration
 	share                    float64
-	patience                 time.Duration // for the first event; its caller leaves after it
+	callerTimeout            time.Duration // for the first event; the caller disconnects after it
 }
 
 var loadKinds = []loadKind{
-	{0, 2950, 52, 800 * ms, 8 * time.Second, 0.30, 4 * time.Second},  // long prompts, worth most
+	{0, 2950, 52, 800 * ms, 8 * time.Second, 0.30, 4 * time.Second},  // long prompts, most urgent
 	{1, 1860, 24, 800 * ms, 4 * time.Second, 0.37, 4 * time.Second},  // bulk reading
-	{2, 600, 261, 600 * ms, 15 * time.Second, 0.33, 4 * time.Second}, // long answers, worth least
+	{2, 600, 261, 600 * ms, 15 * time.Second, 0.33, 4 * time.Second}, // long answers, least urgent
 }
 
-// happening is something that comes at a time.
-type happening struct {
+// simEvent is an event of the simulation.
+type simEvent struct {
 	at Time
 	do func(now Time)
 }
 
-type agenda []happening
+type eventQueue []simEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(simEvent)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return last
 }
 
-// loadResult counts what came of a kind.
+// loadResult counts the outcomes of a kind.
 type loadResult struct {
-	asked, inTime, late, lost, left int
-	refused, atOnce                 int // answers "not run", and those within toldAtOnce
+	arrived, inTime, late, lost, abandoned int
+	refused, refusedEarly                  int // refusals, and those within earlyRefusalLimit
 }
 
-// toldAtOnce is an eighth of the latency objectives.
-const toldAtOnce = 100 * ms
+// earlyRefusalLimit is an eighth of the longest latency target.
+const earlyRefusalLimit = 100 * ms
 
-// heavyDay plays the load against a scheduler on a clock of its own.
-type heavyDay struct {
-	s       *Scheduler
-	agenda  agenda
-	rng     *rand.Rand
-	next    uint64
-	open    map[uint64]*loadRequest
-	all     []*loadRequest
-	results [3]loadResult
-	speeds  map[string]float64
-	// lengths draws the length of an answer and what its caller expects.
+// loadSimulation plays the load against a scheduler on a simulated clock.
+type loadSimulation struct {
+	s           *Scheduler
+	events      eventQueue
+	rng         *rand.Rand
+	next        uint64
+	outstanding map[uint64]*loadRequest
+	all         []*loadRequest
+	results     [3]loadResult
+	speeds      map[string]float64
+	// lengths draws the length of an answer and the length that its caller expects.
 	lengths func(mean int) (real, expected int)
 }
 
-// known draws lengths that the caller knows.
-func (d *heavyDay) known(mean int) (real, expected int) {
+// exactLength draws a length that the caller knows.
+func (d *loadSimulation) exactLength(mean int) (real, expected int) {
 	n := 1 + int(d.rng.ExpFloat64()*float64(mean))
 	return n, n
 }
 
-// guessed draws lengths as they are seen: one in ten is four times the mean or
-// more, and what the caller expects is right at the median only.
-func (d *heavyDay) guessed(mean int) (real, expected int) {
-	const spread, error = 1.3, 0.5 // deviations of the logarithms
-	n := float64(mean) * math.Exp(spread*d.rng.NormFloat64()-spread*spread/2)
-	return 1 + int(n), 1 + int(n*math.Exp(error*d.rng.NormFloat64()))
+// estimatedLength draws lengths as observed: one in ten is four times the mean or more, and
+// the caller's estimate is right only at the median.
+func (d *loadSimulation) estimatedLength(mean int) (real, expected int) {
+	const lengthDeviation, guessDeviation = 1.3, 0.5 // standard deviations of the logarithms
+	n := float64(mean) * math.Exp(lengthDeviation*d.rng.NormFloat64()-lengthDeviation*lengthDeviation/2)
+	return 1 + int(n), 1 + int(n*math.Exp(guessDeviation*d.rng.NormFloat64()))
 }
 
 type loadRequest struct {
@@ -99,15 +99,15 @@
 	length  int // of the answer in tokens; OutputTokens is what the caller expects
 	kind    int
 	started Time // the caller's first attempt
-	again   bool
+	retried bool
 	placed  bool
 	served  bool
 }
 
-func newHeavyDay(seed uint64) *heavyDay {
-	d := &heavyDay{s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 1)), open: map[uint64]*loadRequest{}, speeds: map[string]float64{}}
+func newLoadSimulation(seed uint64) *loadSimulation {
+	d := &loadSimulation{s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 1)), outstanding: map[uint64]*loadRequest{}, speeds: map[string]float64{}}
 	d.s.SetServices(0, []Service{{Name: engine, Engine: true, KVTokens: 220_000, Stride: 3}})
-	d.lengths = d.known
+	d.lengths = d.exactLength
 	var list []Server
 	for i := range loadEngines {
 		id := fmt.Sprintf("e%02d", i)
@@ -118,9 +118,9 @@
 	return d
 }
 
-func (d *heavyDay) at(t Time, do func(Time)) { heap.Push(&d.agenda, happening{t, do}) }
+func (d *loadSimulation) at(t Time, do func(Time)) { heap.Push(&d.events, simEvent{t, do}) }
 
-func (d *heavyDay) draw() int {
+func (d *loadSimulation) drawKind() int {
 	x := d.rng.Float64()
 	for k := range loadKinds {
 		if x -= loadKinds[k].share; x < 0 {
@@ -130,11 +130,11 @@
 	return 0
 }
 
-// arrive submits a new request of a drawn kind and plans the next arrival.
-func (d *heavyDay) arrive(now Time) {
-	k := d.draw()
+// arrive submits a new request of a random kind and schedules the next arrival.
+func (d *loadSimulation) arrive(now Time) {
+	k := d.drawKind()
 	kind := loadKinds[k]
-	d.results[k].asked++
+	d.results[k].arrived++
 	r := &loadRequest{kind: k, started: now}
 	r.Service, r.Priority = engine, kind.priority
 	r.PromptTokens = int(d.rng.ExpFloat64() * float64(kind.prompt))
@@ -147,58 +147,58 @@
 	}
 }
 
-func (d *heavyDay) submit(now Time, r *loadRequest) {
+func (d *loadSimulation) submit(now Time, r *loadRequest) {
 	d.next++
 	r.Key, r.Arrived = Key{Holder: 1, ID: d.next}, now
-	r.LeavesAt = now + loadKinds[r.kind].patience
-	d.open[r.ID] = r
+	r.LeavesAt = now + loadKinds[r.kind].callerTimeout
+	d.outstanding[r.ID] = r
 	out, _ := d.s.Submit(now, r.Request)
 	d.apply(now, out)
-	d.at(r.LeavesAt, func(now Time) { d.leave(now, r.Key) })
+	d.at(r.LeavesAt, func(now Time) { d.abandon(now, r.Key) })
 }
 
-func (d *heavyDay) apply(now Time, out []Decision) {
+func (d *loadSimulation) apply(now Time, out []Decision) {
 	for _, o := range out {
-		r := d.open[o.ID]
+		r := d.outstanding[o.ID]
 		if o.Reason == 0 {
 			r.placed = true
 			d.serve(now, r, d.speeds[o.Server])
 			continue
 		}
-		delete(d.open, o.ID)
+		delete(d.outstanding, o.ID)
 		d.results[r.kind].refused++
-		if now-r.Arrived <= toldAtOnce {
-			d.results[r.kind].atOnce++
+		if now-r.Arrived <= earlyRefusalLimit {
+			d.results[r.kind].refusedEarly++
 		}
 		back := now + min(o.RetryAfter, (r.Deadline-now)/3)
-		if r.again || back >= r.Deadline {
+		if r.retried || back >= r.Deadline {
 			d.results[r.kind].lost++
 			continue
 		}
-		r.again = true
+		r.retried = true
 		d.at(back, func(now Time) { d.submit(now, r) })
 	}
 }
 
-// leave ends a request whose caller has seen no event for too long.
-func (d *heavyDay) leave(now Time, k Key) {
-	r := d.open[k.ID]
+// abandon ends a request whose caller has waited too long for its first event.
+func (d *loadSimulation) abandon(now Time, k Key) {
+	r := d.outstanding[k.ID]
 	if r == nil || r.placed {
 		return
 	}
-	delete(d.open, k.ID)
-	d.results[r.kind].left++
+	delete(d.outstanding, k.ID)
+	d.results[r.kind].abandoned++
 	d.apply(now, d.s.Withdraw(now, k))
 }
 
-// serve runs a request: its prompt delays its first token by what the engine
-// reads of it and of another one meanwhile.
-func (d *heavyDay) serve(now Time, r *loadRequest, speed float64) {
+// serve runs a request. Its first token is delayed by the prefill of its prompt and of another
+// prompt of the same size.
+func (d *loadSimulation) serve(now Time, r *loadRequest, speed float64) {
 	first := time.Duration(2 * float64(r.PromptTokens) / 39.3 / speed * float64(ms))
 	pace := time.Duration(9 * float64(ms) / speed)
 	end := now + first + time.Duration(r.length)*pace
 	d.at(min(end, r.Deadline), func(now Time) {
-		delete(d.open, r.ID)
+		delete(d.outstanding, r.ID)
 		r.served = end <= r.Deadline
 		switch {
 		case end > r.Deadline:
@@ -212,63 +212,61 @@
 	})
 }
 
-func (d *heavyDay) run() {
+func (d *loadSimulation) run() {
 	d.at(0, d.arrive)
 	for tick := 10 * ms; tick < burstLength+20*time.Second; tick += 10 * ms {
 		d.at(tick, func(now Time) { d.apply(now, d.s.Tick(now)) })
 	}
-	for d.agenda.Len() > 0 {
-		h := heap.Pop(&d.agenda).(happening)
+	for d.events.Len() > 0 {
+		h := heap.Pop(&d.events).(simEvent)
 		h.do(h.at)
 	}
 }
 
-func (r loadResult) onTime() float64 { return float64(r.inTime) / float64(r.asked) }
+func (r loadResult) onTime() float64 { return float64(r.inTime) / float64(r.arrived) }
 
-func (r loadResult) served() float64 { return float64(r.inTime+r.late) / float64(r.asked) }
+func (r loadResult) served() float64 { return float64(r.inTime+r.late) / float64(r.arrived) }
 
 var _ = Describe("a burst at twice what the engines can serve", func() {
-	// Ground for the bounds: the most urgent kind needs half of the engines'
-	// time, so nearly all of it can be in time (with one priority for all, 0.76
-	// is); what is left goes to the next kind first. No kind gets less than a
-	// fifth: the burst ends, and the long deadline of the last kind outlasts it,
-	// which is why it may be served more often than the second, though late.
+	// Reasons for the bounds: the most urgent kind needs half of the engines' time, so nearly all of it
+	// can be on time (with one priority for all kinds, 0.76 is). The rest goes to the next kind first.
+	// No kind gets less than a fifth, because the burst ends and the long deadline of the last kind
+	// outlasts it; so the last kind may be served more often than the second, though late.
 	for seed := range uint64(3) {
-		It(fmt.Sprintf("serves the urgent kind in time and starves none (seed %d)", seed), func() {
-			d := newHeavyDay(seed)
+		It(fmt.Sprintf("serves the urgent kind on time and starves none (seed %d)", seed), func() {
+			d := newLoadSimulation(seed)
 			d.run()
 			fmt.Fprintf(GinkgoWriter, "%+v\n", d.results)
-			urgent, bulk, least := d.results[0], d.results[1], d.results[2]
+			urgent, bulk, longAnswers := d.results[0], d.results[1], d.results[2]
 			Expect(urgent.onTime()).To(BeNumerically(">", 0.95))
 			Expect(urgent.onTime()).To(BeNumerically(">", bulk.onTime()))
-			Expect(bulk.onTime()).To(BeNumerically(">", least.onTime()))
+			Expect(bulk.onTime()).To(BeNumerically(">", longAnswers.onTime()))
 			Expect(urgent.served()).To(BeNumerically(">", bulk.served()))
 			Expect(bulk.served()).To(BeNumerically(">", 0.2))
-			Expect(least.served()).To(BeNumerically(">", 0.2))
-			// Whoever could have been told to come back did not leave unanswered.
+			Expect(longAnswers.served()).To(BeNumerically(">", 0.2))
+			// Callers are told to retry before they disconnect unanswered.
 			for _, kind := range d.results {
-				Expect(kind.left).To(BeNumerically("<=", kind.asked/200))
+				Expect(kind.abandoned).To(BeNumerically("<=", kind.arrived/200))
 			}
 			Expect(d.s.Waiting()).To(BeZero())
-			Expect(d.open).To(BeEmpty())
+			Expect(d.outstanding).To(BeEmpty())
 		})
 	}
 })
 
 var _ = Describe("a burst of answers whose lengths differ a hundredfold", func() {
 	served := func(seed uint64, weight float64) (n int, results [3]loadResult) {
-		d := newHeavyDay(seed)
+		d := newLoadSimulation(seed)
 		d.s.policy.LengthWeight = weight
-		d.lengths = d.guessed
+		d.lengths = d.estimatedLength
 		d.run()
 		for _, r := range d.results {
 			n += r.inTime + r.late
 		}
 		return n, d.results
 	}
-	// Ground for the bound: one answer in ten takes half of the places' time, and
-	// in a burst they are worth no more than others. Callers' guesses are off by a
-	// half, so not all of it can be won.
+	// Reason for the bound: one answer in ten takes half of the slots' time, and in a burst it is worth
+	// no more than others. The callers' estimates are off by a half, so not all of that can be gained.
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("serves more callers by letting short answers go first (seed %d)", seed), func() {
 			without, before := served(seed, 0)
@@ -281,73 +279,71 @@
 })
 
 var _ = Describe("a burst in which most of a kind cannot be served", func() {
-	// Callers of bulk reading wait a third of their time and are told then that
-	// there is no room. Ground for the bounds: through most of the burst more come
-	// than are placed, so most can be told as they come; the shares served are what
-	// they were when all waited, less 0.03. The long answers, which outlast the
-	// burst, must not be sent away so.
+	// Without early refusals the callers of bulk reading wait for a third of their time and are refused
+	// then. Reasons for the bounds: through most of the burst more requests arrive than are placed, so
+	// most can be refused on arrival; the fractions served are those without early refusals, less 0.03.
+	// The long answers outlast the burst and must not be refused early.
 	for seed := range uint64(3) {
-		It(fmt.Sprintf("tells them at once (seed %d)", seed), func() {
-			d := newHeavyDay(seed)
+		It(fmt.Sprintf("refuses them early (seed %d)", seed), func() {
+			d := newLoadSimulation(seed)
 			d.run()
 			fmt.Fprintf(GinkgoWriter, "%+v\n", d.results)
-			bulk, least := d.results[1], d.results[2]
+			bulk, longAnswers := d.results[1], d.results[2]
 			Expect(bulk.refused).To(BeNumerically(">", 300))
-			Expect(float64(bulk.atOnce)).To(BeNumerically(">", 0.5*float64(bulk.refused)))
+			Expect(float64(bulk.refusedEarly)).To(BeNumerically(">", 0.5*float64(bulk.refused)))
 			Expect(bulk.served()).To(BeNumerically(">", 0.55))
-			Expect(least.served()).To(BeNumerically(">", 0.65))
+			Expect(longAnswers.served()).To(BeNumerically(">", 0.65))
 		})
 	}
 })
 
-// longest returns how often the longest tenth of a kind was served.
-func (d *heavyDay) longest(kind int) float64 {
-	var of []*loadRequest
+// longestServed returns the fraction of the longest tenth of a kind that was served.
+func (d *loadSimulation) longestServed(kind int) float64 {
+	var ofKind []*loadRequest
 	for _, r := range d.all {
 		if r.kind == kind {
-			of = append(of, r)
+			ofKind = append(ofKind, r)
 		}
 	}
-	slices.SortFunc(of, func(a, b *loadRequest) int { return cmp.Compare(b.length, a.length) })
-	of = of[:len(of)/10]
+	slices.SortFunc(ofKind, func(a, b *loadRequest) int { return cmp.Compare(b.length, a.length) })
+	ofKind = ofKind[:len(ofKind)/10]
 	n := 0
-	for _, r := range of {
+	for _, r := range ofKind {
 		if r.served {
 			n++
 		}
 	}
-	return float64(n) / float64(len(of))
+	return float64(n) / float64(len(ofKind))
 }
 
 var _ = Describe("the longest answers of a kind", func() {
-	// Callers whose answers are long wait through a burst behind every shorter one,
-	// are refused, come back and are refused again: 0.28 of them were served where
-	// 0.68 of their kind were. Here a short one comes for each place that opens.
+	// In a burst the callers of long answers wait behind every shorter one, are refused, retry and are
+	// refused again: 0.28 of them were served, against 0.68 of their kind. Here a short request arrives
+	// for each slot that opens.
 	It("are not overtaken for as long as they may wait", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
-		long := stream(2, 0, 0)
-		long.OutputTokens, long.Deadline = 800, 15*time.Second
-		long.Aim = long.Deadline // it stays in time, or it would stand behind those that are
-		s.Submit(0, long)
+		longStream := stream(2, 0, 0)
+		longStream.OutputTokens, longStream.Deadline = 800, 15*time.Second
+		longStream.Aim = longStream.Deadline // it stays on time; otherwise it would move behind those that are
+		s.Submit(0, longStream)
 		running := uint64(1)
-		for id, now := uint64(3), 100*ms; running != long.ID; id, now = id+1, now+100*ms {
+		for id, now := uint64(3), 100*ms; running != longStream.ID; id, now = id+1, now+100*ms {
 			Expect(now).To(BeNumerically("<", 3*time.Second), "it may wait 4.5 s")
 			s.Submit(now, stream(id, now, 0))
 			running = placed(finish(s, now, running, OK))[0]
 		}
 	})
 
-	// Ground for the bound: a gate of the users asks for no more than twice as
-	// seldom.
+	// Reason for the bound: the users require that the longest answers are served at least half as often.
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("are served at least half as often as the kind (seed %d)", seed), func() {
-			d := newHeavyDay(seed)
-			d.lengths = d.guessed
+			d := newLoadSimulation(seed)
+			d.lengths = d.estimatedLength
 			d.run()
 			for kind := 1; kind < 3; kind++ {
-				fmt.Fprintf(GinkgoWriter, "kind %d: %.2f of %.2f\n", kind, d.longest(kind), d.results[kind].served())
-				Expect(d.longest(kind)).To(BeNumerically(">", 0.5*d.results[kind].served()))
+				fmt.Fprintf(GinkgoWriter, "kind %d: %.2f of %.2f\n", kind, d.longestServed(kind), d.results[kind].served())
+				Expect(d.longestServed(kind)).To(BeNumerically(">", 0.5*d.results[kind].served()))
 			}
 		})
 	}
--- a/internal/sched/notices.go
+++ b/internal/sched/notices.go
@@ -91,7 +91,7 @@
 		srv.pacer = pacer{}
 		return
 	}
-	srv.pacer.limit(now, max(said.Limit.PerSecond, leastLimit)*s.share.Sends, srv.lot)
+	srv.pacer.limit(now, max(said.Limit.PerSecond, minServerRate)*s.share.Sends, srv.lot)
 }
 
 // forgetNotices drops what is known of servers that are not listed, after a while.
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -8,43 +8,42 @@
 // waiting is one request in a queue.
 type waiting struct {
 	Request
-	asked Time // when this ask came in; Arrived may be earlier
-	rank  Time // place in its lane: Arrived, put off by the length of its answer
-	order Time // rank as the server that chooses sees it
-	class int  // by size, in its lane
+	submittedAt  Time // when it was submitted here; Arrived may be earlier
+	rank         Time // sort key: Arrived, plus longAnswerDelay
+	adjustedRank Time // rank with the cache and connections of the choosing server considered
+	class        int  // size class within its priority
 }
 
-// lane holds the waiting requests of one priority. fresh is in order of rank, but
-// for its first Policy.ChoosesFrom, which preferKept puts in the order of the server that
-// chose last. A request that can no longer meet its latency objective moves to
-// late, behind all that still can: serving it first would only make the next one
-// late too.
-type lane struct {
-	priority int
-	fresh    []*waiting
-	late     []*waiting
-	arrived  rate // of requests
-	placed   rate
-	given    serverTime // to the requests placed
-	sizes    sizes
-	// floorFrom is when the floor of this lane is looked at again.
-	floorFrom Time
+// priorityQueue holds the waiting requests of one priority. onTime is sorted by rank, except
+// for its first Policy.ChoosesFrom requests, which preferCached sorts for the server that
+// chose last. A request that can no longer meet its latency target moves to late, behind all
+// that still can: serving it first would only make the next one late too.
+type priorityQueue struct {
+	priority      int
+	onTime        []*waiting
+	late          []*waiting
+	arrivalRate   rate // of requests
+	placementRate rate
+	allocated     serverTime // to the requests placed
+	sizeStats     sizeStats
+	// nextShareCheck is when the minimum share of this priority is checked again.
+	nextShareCheck Time
 }
 
-// queue holds the waiting requests of a service, most urgent lane first.
+// queue holds the waiting requests of a service, most urgent priority first.
 type queue struct {
-	lanes []*lane
-	size  int
-	keys  map[Key]struct{} // of all that wait
+	priorityQueues []*priorityQueue
+	size           int
+	keys           map[Key]struct{} // of all waiting requests
 }
 
 func (q *queue) add(w *waiting) {
-	l := q.lane(w.Priority)
-	at := len(l.fresh)
-	for at > 0 && l.fresh[at-1].rank > w.rank {
+	pq := q.priorityQueue(w.Priority)
+	at := len(pq.onTime)
+	for at > 0 && pq.onTime[at-1].rank > w.rank {
 		at--
 	}
-	l.fresh = slices.Insert(l.fresh, at, w)
+	pq.onTime = slices.Insert(pq.onTime, at, w)
 	if q.keys == nil {
 		q.keys = map[Key]struct{}{}
 	}
@@ -52,23 +51,23 @@
 	q.size++
 }
 
-func (q *queue) lane(priority int) *lane {
-	i, found := slices.BinarySearchFunc(q.lanes, priority, func(l *lane, p int) int { return l.priority - p })
+func (q *queue) priorityQueue(priority int) *priorityQueue {
+	i, found := slices.BinarySearchFunc(q.priorityQueues, priority, func(pq *priorityQueue, p int) int { return pq.priority - p })
 	if !found {
-		q.lanes = slices.Insert(q.lanes, i, &lane{priority: priority})
+		q.priorityQueues = slices.Insert(q.priorityQueues, i, &priorityQueue{priority: priority})
 	}
-	return q.lanes[i]
+	return q.priorityQueues[i]
 }
 
-// remove takes a request out and returns it, nil when it does not wait here.
+// remove removes a request and returns it, nil when it does not wait here.
 func (q *queue) remove(k Key) *waiting {
 	if _, waits := q.keys[k]; !waits {
 		return nil
 	}
 	delete(q.keys, k)
 	match := func(w *waiting) bool { return w.Key == k }
-	for _, l := range q.lanes {
-		for _, list := range []*[]*waiting{&l.fresh, &l.late} {
+	for _, pq := range q.priorityQueues {
+		for _, list := range []*[]*waiting{&pq.onTime, &pq.late} {
 			if i := slices.IndexFunc(*list, match); i >= 0 {
 				w := (*list)[i]
 				*list = slices.Delete(*list, i, i+1)
@@ -80,11 +79,11 @@
 	return nil
 }
 
-// each calls f for all that wait, most urgent first, and drops those for
-// which it returns true. It stops when f returns stop.
+// each calls f for all waiting requests, most urgent first, and removes those for which it
+// returns drop. It stops when f returns stop.
 func (q *queue) each(f func(w *waiting) (drop, stop bool)) {
-	for _, l := range q.lanes {
-		if q.eachOf(&l.fresh, f) || q.eachOf(&l.late, f) {
+	for _, pq := range q.priorityQueues {
+		if q.eachOf(&pq.onTime, f) || q.eachOf(&pq.late, f) {
 			return
 		}
 	}
@@ -112,29 +111,29 @@
 	return false
 }
 
-// age moves what can no longer meet its objective behind what can. lead is the
-// time from a place to the first event.
-func (l *lane) age(now Time, lead time.Duration) {
-	kept := l.fresh[:0]
-	for _, w := range l.fresh {
-		if w.Aim < now+lead {
-			l.late = append(l.late, w)
+// demoteLate moves requests that can no longer meet their latency target behind those that can.
+// timeToFirstEvent is the time from the placement to the first event.
+func (pq *priorityQueue) demoteLate(now Time, timeToFirstEvent time.Duration) {
+	kept := pq.onTime[:0]
+	for _, w := range pq.onTime {
+		if w.Aim < now+timeToFirstEvent {
+			pq.late = append(pq.late, w)
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	clear(l.fresh[len(kept):])
-	l.fresh = kept
+	clear(pq.onTime[len(kept):])
+	pq.onTime = kept
 }
 
-// hopeless reports whether w, which waits in l, will as good as surely be refused
-// in the end: those before it take longer than it may wait to be on time, and more
-// come than are placed, so that nothing is left for late ones.
-func (l *lane) hopeless(now Time, lead time.Duration, w *waiting) bool {
-	placed := l.placed.now(now)
-	ahead := float64(slices.Index(l.fresh, w))
-	if ahead < placed*(w.Aim-lead-now).Seconds() {
+// shouldRejectEarly reports whether w, which waits in pq, will almost certainly be refused in the
+// end: the requests before it take longer than it may wait to be on time, and more arrive than
+// are placed, so that nothing is left for late ones.
+func (pq *priorityQueue) shouldRejectEarly(now Time, timeToFirstEvent time.Duration, w *waiting) bool {
+	placementRate := pq.placementRate.valueAt(now)
+	ahead := float64(slices.Index(pq.onTime, w))
+	if ahead < placementRate*(w.Aim-timeToFirstEvent-now).Seconds() {
 		return false
 	}
-	return l.arrived.now(now) > hopelessExcess*placed
+	return pq.arrivalRate.valueAt(now) > earlyRejectionRatio*placementRate
 }
--- a/internal/sched/rate.go
+++ b/internal/sched/rate.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// rate is how often something happens a second, by what happened in the last
-// half second or so.
+// rate is an exponentially decaying number of events per second, over about the last
+// half second.
 type rate struct {
 	value float64
 	at    Time
 }
 
-// rateMemory is the time in which older events fade to a third.
-const rateMemory = 500 * time.Millisecond
+// rateDecay is the time constant of the decay.
+const rateDecay = 500 * time.Millisecond
 
 func (r *rate) add(now Time) {
-	r.value = r.now(now) + 1/rateMemory.Seconds()
+	r.value = r.valueAt(now) + 1/rateDecay.Seconds()
 	r.at = now
 }
 
-func (r *rate) now(now Time) float64 {
-	return r.value * math.Exp(-float64(now-r.at)/float64(rateMemory))
+func (r *rate) valueAt(now Time) float64 {
+	return r.value * math.Exp(-float64(now-r.at)/float64(rateDecay))
 }
--- a/internal/sched/reading.go
+++ b/internal/sched/reading.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// learnReading learns from the first event of a run how long engines take to read
-// prompts: what was predicted when it was placed, its own prompt and those before it,
-// against what it took. Pauses and long queues make outliers, so a sample moves the
-// share by its logarithm, and by a bounded part.
-func (svc *service) learnReading(r *run, first time.Duration) {
+// learnPrefillRatio updates the prefill ratio from the time to the first event of a run,
+// compared with the prediction at its placement, which covers its own prompt and those before
+// it. Pauses and long queues cause outliers, so a sample changes the ratio by its logarithm,
+// and by a bounded amount.
+func (svc *service) learnPrefillRatio(r *run, first time.Duration) {
 	predicted := r.first
 	r.first = 0
-	if !svc.Engine || predicted < learnsFrom {
+	if !svc.Engine || predicted < minPrefillSample {
 		return
 	}
-	off := math.Log(float64(first) / float64(predicted))
-	svc.readShare *= math.Exp(readRate * max(-1, min(1, off)))
-	svc.readShare = max(leastReadShare, min(mostReadShare, svc.readShare))
+	logError := math.Log(float64(first) / float64(predicted))
+	svc.prefillRatio *= math.Exp(prefillRatioWeight * max(-1, min(1, logError)))
+	svc.prefillRatio = max(minPrefillRatio, min(maxPrefillRatio, svc.prefillRatio))
 }
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -265,7 +265,7 @@
 	}
 	var free []rollout.Candidate
 	for _, srv := range svc.onTrial {
-		if srv.room(now, s.places(svc, srv)) {
+		if srv.room(now, s.concurrencyLimit(svc, srv)) {
 			free = append(free, rollout.Candidate{Server: srv.ID, Slots: srv.Slots})
 		}
 	}
@@ -295,12 +295,12 @@
 	if trial == nil || w.Repeatable || w.Repeat || !trial.MayTake() {
 		return false
 	}
-	first := svc.firstAt(svc.typicalTokenTime(), &w.Request)
+	first := svc.idleTimeToFirstEvent(svc.typicalTokenTime(), &w.Request)
 	if !trial.Ending(now, first+time.Duration(w.OutputTokens)*svc.typicalTokenTime()) {
 		return false
 	}
 	for _, srv := range svc.onTrial {
-		if srv.room(now, s.places(svc, srv)) && srv.hasMemory(svc, &w.Request) && s.quotaWait(now, &w.Request) == 0 {
+		if srv.room(now, s.concurrencyLimit(svc, srv)) && srv.hasMemory(svc, &w.Request) && s.quotaWait(now, &w.Request) == 0 {
 			s.place(now, svc, srv, w)
 			return true
 		}
@@ -367,7 +367,7 @@
 func (s *Scheduler) sample(now Time, svc *service, r *run, o Outcome) (out rollout.Sample, ok bool) {
 	out = rollout.Sample{Route: r.req.Route, Server: r.server.ID, New: r.server.Version == svc.versions.order.To}
 	typical := svc.typicalTokenTime()
-	usual := svc.firstAt(typical, r.req)
+	usual := svc.idleTimeToFirstEvent(typical, r.req)
 	switch o.Result {
 	case OK:
 		out.Took = float64(o.First) / float64(usual)
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -8,12 +8,12 @@
 	"github.com/gentianflow/gentianflow/internal/rollout"
 )
 
-// Scheduler owns the queues of all services. One goroutine owns it; nothing
-// in it is safe for concurrent use.
+// Scheduler owns the queues of all services. It belongs to one goroutine and is not
+// safe for concurrent use.
 type Scheduler struct {
 	policy   Policy
 	share    Share
-	owner    uint64 // incarnation of the host; decides its lots
+	owner    uint64 // incarnation of the host; determines srv.lot of each server
 	services map[string]*service
 	servers  map[string]*server
 	quotas   []Account // as configured
@@ -21,47 +21,48 @@
 	runs     map[Key]*run
 	orphans  int
 	suspects *quarantine.Table
-	lapse    time.Duration // how long after its end a server is listed, at most
+	lapse    time.Duration // maximum time for which a server is still listed after its end
 	faults   faults
-	copies   map[quarantine.Fingerprint]int    // of runs
-	review   map[quarantine.Fingerprint]string // to be judged again, with their service
+	copies   map[quarantine.Fingerprint]int    // number of runs
+	review   map[quarantine.Fingerprint]string // to be judged again, by fingerprint; the value is the service
 	versions map[string]*versions              // by service
 	notices  map[string]heardNotice            // by server
 	bounds   rollout.Bounds
-	rollouts []rollout.Standing // steps since RolloutNews
-	out      []Decision         // of the running call
+	rollouts []rollout.Standing // steps since the last call of RolloutNews
+	out      []Decision         // decisions of the current call
 }
 
 // service is a service with its queue.
 type service struct {
 	Service
-	servers  []*server // that serve
-	onTrial  []*server // of a version that is tried
-	versions *versions
-	queue    queue
-	retries  bucket
-	lead     spread        // from a place to the first event or the whole answer
-	typical  time.Duration // typicalTokenTime as worked out, 0 when it may have changed
-	handover spread        // of a plain call's place, beyond the time that its server has it
-	tried    Time          // when a request that has seen two ends was placed last
-	// readShare is what an engine takes to read one prompt token, as a part of what it
-	// takes to generate one.
-	readShare float64
+	servers           []*server // that receive requests
+	onTrial           []*server // of a version that is on trial
+	versions          *versions
+	queue             queue
+	retryBudget       bucket
+	timeToFirstEvent  durationEstimate // from the placement to the first event or the whole answer
+	typical           time.Duration    // cached result of typicalTokenTime, 0 when it may have changed
+	handoverTime      durationEstimate // of a plain call's placement, beyond the time that its server has the call
+	recurrentPlacedAt Time             // when a request under which two servers ended was last placed
+	// prefillRatio is the time that an engine takes to prefill one prompt token, as a
+	// fraction of the time to generate one.
+	prefillRatio float64
 }
 
-// Share is the part that a scheduler has: all as the home, less as a host that
+// Share is the share of the resources that a scheduler may use: all of them at the
+// home (the host that runs the scheduler for the others), less at a host that
 // decides alone.
 type Share struct {
-	Servers float64 // of every server's places
+	Servers float64 // of every server's slots
 	Limits  float64 // of every account's quota and service's retry budget
-	Sends   float64 // of the requests a second that servers name as their limit
+	Sends   float64 // of the requests per second that servers state as their limit
 }
 
-// DefaultLapse is how long a server's entry outlives it when the platform does not tell how
-// often servers renew theirs.
+// DefaultLapse is how long the entry of a server that ended stays listed when the
+// platform does not state how often servers renew their entries.
 const DefaultLapse = 4500 * time.Millisecond
 
-// New makes a scheduler with no services.
+// New returns a scheduler with no services.
 func New(p Policy) *Scheduler {
 	s := &Scheduler{
 		policy: p, share: Share{Servers: 1, Limits: 1, Sends: 1},
@@ -74,8 +75,8 @@
 	return s
 }
 
-// typicalTokenTime is what a server of unknown speed is taken to need for a
-// token: the middle of those that are known.
+// typicalTokenTime is the assumed token time of a server of unknown speed: the median
+// of the service's servers.
 func (svc *service) typicalTokenTime() time.Duration {
 	if len(svc.servers) == 0 {
 		return defaultTokenTime
@@ -92,14 +93,14 @@
 	return svc.typical
 }
 
-// Submit asks for a place. The decision may come now or after a later event;
-// it reports true when the request waits. An ask under a known key replaces the
-// earlier one.
+// Submit requests a placement. The decision may come at once or after a later event;
+// waits reports whether the request is queued. A request under a known key replaces
+// the earlier one.
 func (s *Scheduler) Submit(now Time, r Request) (out []Decision, waits bool) {
 	s.out = nil
-	s.forget(now, r.Key)
+	s.discard(now, r.Key)
 	svc := s.services[r.Service]
-	w := &waiting{Request: r, asked: now}
+	w := &waiting{Request: r, submittedAt: now}
 	switch {
 	case svc == nil:
 		s.refuse(now, w, NoService, s.policy.RetryAfter)
@@ -107,83 +108,84 @@
 	case s.standing(now, &r) == quarantine.Quarantined:
 		s.refuseQuarantined(now, w)
 		return s.out, false
-	case r.Repeat && !s.repeat(now, svc):
+	case r.Repeat && !s.takeRetry(now, svc):
 		s.refuse(now, w, Budget, s.policy.RetryAfter)
 		return s.out, false
 	case !r.Repeat:
-		svc.retries.give(now, s.policy.RetryRatio)
+		svc.retryBudget.credit(now, s.policy.RetryRatio)
 	}
-	if wait := s.quotaQueue(now, svc, &r); s.wholeQuotas() && wait > s.longestQuotaWait(&r) {
+	if wait := s.quotaWaitInQueue(now, svc, &r); s.hasFullQuotas() && wait > s.maxQuotaWait(&r) {
 		s.refuse(now, w, Quota, max(wait, s.policy.RetryAfter))
 		return s.out, false
 	}
-	lane := svc.queue.lane(r.Priority)
-	lane.arrived.add(now)
-	w.class = lane.sizes.ask(now, svc.work(&r))
-	w.rank = s.rank(now, lane, w)
+	pq := svc.queue.priorityQueue(r.Priority)
+	pq.arrivalRate.add(now)
+	w.class = pq.sizeStats.classify(now, svc.work(&r))
+	w.rank = s.rank(now, pq, w)
 	svc.queue.add(w)
-	placed := s.offerTo(now, svc, w)
-	if !placed && s.hopeless(now, svc, lane, w) && s.unqueue(r.Key) {
-		s.refuse(now, w, Overload, s.returnAfter(now, w))
+	placed := s.placeArrival(now, svc, w)
+	if !placed && s.shouldRejectEarly(now, svc, pq, w) && s.dequeue(r.Key) {
+		s.refuse(now, w, Overload, s.retryAfter(now, w))
 	}
-	// Other hosts may be served where this one is not.
-	if !placed && s.allRest(now, svc, w) && s.unqueue(r.Key) {
+	// Other hosts may still have servers that are not backing off from them.
+	if !placed && s.allRest(now, svc, w) && s.dequeue(r.Key) {
 		s.refuse(now, w, Overload, s.policy.RetryAfter)
 	}
 	refused := slices.ContainsFunc(s.out, func(d Decision) bool { return d.Key == r.Key })
 	return s.out, !placed && !refused
 }
 
-// offerTo places w, which has just come, if a server has room for it, and reports
-// whether it did. Whoever waits already was offered what there is when it opened.
-func (s *Scheduler) offerTo(now Time, svc *service, w *waiting) bool {
+// placeArrival places w, which has just arrived, if a server has room for it, and
+// reports whether it did. Requests that already wait were considered for the free
+// slots when these opened.
+func (s *Scheduler) placeArrival(now Time, svc *service, w *waiting) bool {
 	if s.offerTrial(now, svc, w) || s.offerNew(now, svc, w) {
 		svc.queue.remove(w.Key)
 		return true
 	}
-	if free := s.withRoom(now, svc); len(free) > 0 && s.try(now, svc, s.offer(now, svc, free), w) {
+	if free := s.serversWithRoom(now, svc); len(free) > 0 && s.tryPlace(now, svc, s.candidates(now, svc, free), w) {
 		svc.queue.remove(w.Key)
 		return true
 	}
 	return false
 }
 
-// hopeless reports whether w, which has just come, is to be refused at once.
+// shouldRejectEarly reports whether w, which has just arrived, is to be refused at once.
 //
-// Guard: in a burst most of a lane wait as long as they may and are refused then;
-// their callers learn late what was plain when they asked, and come back late.
-// Requests that may wait for seconds outlast many bursts and are not judged, nor
-// are plain calls, which wait for a tenth of a second, nor repeats, whose first run
-// would be lost, nor any by a host that decides alone: it has a home again in a
-// moment.
-func (s *Scheduler) hopeless(now Time, svc *service, l *lane, w *waiting) bool {
-	longest := time.Duration(float64(w.Deadline-w.Arrived) * s.policy.WaitShare)
-	if !svc.Engine || longest > hopelessWait || s.share.Servers < 1 || w.Repeat {
+// In a burst most requests of a priority wait for as long as they may and are then
+// refused: their callers learn late what was foreseeable on arrival, and retry late.
+// Some requests are never rejected early: those that may wait for seconds, as they
+// outlast many bursts; plain calls, which wait for a tenth of a second; repeats, whose
+// first run would be lost; and all requests at a host that decides alone, which has a
+// home again in a moment.
+func (s *Scheduler) shouldRejectEarly(now Time, svc *service, pq *priorityQueue, w *waiting) bool {
+	maxWait := time.Duration(float64(w.Deadline-w.Arrived) * s.policy.WaitShare)
+	if !svc.Engine || maxWait > earlyRejectionMaxWait || s.share.Servers < 1 || w.Repeat {
 		return false
 	}
-	if len(l.fresh)+len(l.late) < s.policy.HopelessFrom {
+	if len(pq.onTime)+len(pq.late) < s.policy.HopelessFrom {
 		return false
 	}
-	return l.hopeless(now, svc.lead.high(), w)
+	return pq.shouldRejectEarly(now, svc.timeToFirstEvent.upperBound(), w)
 }
 
-// forget drops what is booked under a key.
+// discard drops what is booked under a key.
 //
-// Guard: a holder that lost its link to the home, or took it for silent, asks
-// anew for what it has no place for, while the home still has the first ask. Were
-// both counted, the first one's place would be held for ever: the server takes
-// less and less, and callers are refused while it is idle.
-func (s *Scheduler) forget(now Time, k Key) {
-	s.unqueue(k)
+// A holder that lost its connection to the home, or got no answer from it, submits again
+// all requests for which it has no placement, while the home still has the first
+// submission. If both were counted, the first one's slot would be held forever: the
+// server would accept less and less, and callers would be refused while it is idle.
+func (s *Scheduler) discard(now Time, k Key) {
+	s.dequeue(k)
 	if r := s.runs[k]; r != nil {
-		s.repay(now, r)
-		s.drop(r)
+		s.refund(now, r)
+		s.removeRun(r)
 	}
 }
 
-// unqueue takes a request out of the queue that it waits in, and reports whether
+// dequeue removes a request from the queue that it waits in, and reports whether
 // there was one.
-func (s *Scheduler) unqueue(k Key) bool {
+func (s *Scheduler) dequeue(k Key) bool {
 	for _, svc := range s.services {
 		if svc.queue.remove(k) != nil {
 			return true
@@ -192,42 +194,42 @@
 	return false
 }
 
-// rank is the place of a request in its lane. One whose like are placed too seldom is not
-// put off.
-func (s *Scheduler) rank(now Time, l *lane, w *waiting) Time {
-	if l.sizes.behind(now, w.class, s.policy.SizeFloor) {
+// rank is the sort key of a request in its priority queue. A request of a size class
+// that is placed too seldom is not delayed.
+func (s *Scheduler) rank(now Time, pq *priorityQueue, w *waiting) Time {
+	if pq.sizeStats.underserved(now, w.class, s.policy.SizeFloor) {
 		return w.Arrived
 	}
-	return w.Arrived + s.putOff(&w.Request)
+	return w.Arrived + s.longAnswerDelay(&w.Request)
 }
 
-// putOff is how far a request stands back in its lane for the length of its answer.
-func (s *Scheduler) putOff(r *Request) time.Duration {
-	length := time.Duration(float64(r.OutputTokens) * float64(defaultTokenTime) * s.policy.LengthWeight)
-	most := time.Duration(float64(r.Deadline-r.Arrived) * s.policy.WaitShare * s.policy.LengthMost)
-	return min(length, most)
+// longAnswerDelay is how far a request is moved back in its priority queue for the
+// length of its answer.
+func (s *Scheduler) longAnswerDelay(r *Request) time.Duration {
+	answerTime := time.Duration(float64(r.OutputTokens) * float64(defaultTokenTime) * s.policy.LengthWeight)
+	maxDelay := time.Duration(float64(r.Deadline-r.Arrived) * s.policy.WaitShare * s.policy.LengthMost)
+	return min(answerTime, maxDelay)
 }
 
-// repeat draws on the retry budget of a service.
-func (s *Scheduler) repeat(now Time, svc *service) bool {
-	if svc.retries.level < 1 {
+// takeRetry draws on the retry budget of a service and reports whether it sufficed.
+func (s *Scheduler) takeRetry(now Time, svc *service) bool {
+	if svc.retryBudget.level < 1 {
 		return false
 	}
-	svc.retries.take(now, 1)
+	svc.retryBudget.take(now, 1)
 	return true
 }
 
-// Withdraw takes a request back that waits, or gives back a place that was
-// not used.
+// Withdraw removes a waiting request, or returns a placement that was not used.
 func (s *Scheduler) Withdraw(now Time, k Key) []Decision {
-	if s.unqueue(k) {
+	if s.dequeue(k) {
 		return nil
 	}
 	return s.Finish(now, Outcome{Key: k, Result: Unused})
 }
 
-// Finish ends a run, or with the results Pace and Stalled learns from one that
-// goes on.
+// Finish ends a run. With the results Pace and Stalled it updates the estimates from a
+// run that goes on.
 func (s *Scheduler) Finish(now Time, o Outcome) []Decision {
 	s.out = nil
 	r := s.runs[o.Key]
@@ -241,9 +243,9 @@
 		svc.typical = 0
 	}
 	if svc := s.services[r.req.Service]; svc != nil && o.First > 0 && !o.Result.Lost() {
-		svc.learnReading(r, o.First)
+		svc.learnPrefillRatio(r, o.First)
 		if o.Result == OK {
-			svc.lead.add(o.First)
+			svc.timeToFirstEvent.add(o.First)
 			svc.learnHandover(now-r.placed, o.First)
 		}
 	}
@@ -255,15 +257,15 @@
 		return nil
 	}
 	if o.Result.NotRun() {
-		s.repay(now, r)
+		s.refund(now, r)
 	}
 	if svc := s.services[r.req.Service]; svc != nil && r.counted && o.Result != OK {
-		svc.queue.lane(r.req.Priority).sizes.served[r.class].add(now, -1)
+		svc.queue.priorityQueue(r.req.Priority).sizeStats.served[r.class].add(now, -1)
 	}
-	s.drop(r)
+	s.removeRun(r)
 	s.judgeSuspects(now)
 	listed := s.servers[r.server.ID] == r.server
-	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.room(now, s.places(svc, r.server)) {
+	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.room(now, s.concurrencyLimit(svc, r.server)) {
 		if slices.Contains(svc.servers, r.server) {
 			s.fill(now, svc, []*server{r.server})
 		} else {
@@ -273,36 +275,35 @@
 	return s.out
 }
 
-// learnServer takes in what a run's end tells of its server.
+// learnServer updates what is known of a run's server from the run's outcome.
 func (s *Scheduler) learnServer(now Time, r *run, o Outcome) {
 	if s.faults.own(now, r.req.Fingerprint, r.server.ID, o.Result) {
-		o.Result = Left // it says nothing about the server
+		o.Result = Left // the outcome says nothing about the server
 	}
 	if (o.Result == OK || o.Result == Pace) && r.placed > r.server.endedAt {
-		r.server.ended = false // it was not its end
+		r.server.ended = false // the server has answered since, so it had not ended
 	}
 	r.server.learn(now, o)
 }
 
-// Blame counts a failure against a server: it failed a request that another
-// server then answered. A failure alone does not tell, since some requests fail
-// wherever they run; were those counted, every server would look like a faulty
-// one, and the faulty one like the others.
+// Blame counts a failure against a server: it failed a request that another server then
+// answered. A failure alone is not counted, since some requests fail at every server:
+// all servers would look faulty, and the faulty one like the others.
 func (s *Scheduler) Blame(now Time, server string) {
 	if srv := s.servers[server]; srv != nil {
 		srv.failed(now)
 	}
 }
 
-// repay gives an account back what a request that did not run was charged.
-func (s *Scheduler) repay(now Time, r *run) {
+// refund returns the units that an account was charged for a request that did not run.
+func (s *Scheduler) refund(now Time, r *run) {
 	if b := s.accounts[r.req.Account]; b != nil && !r.repaid {
-		b.give(now, r.req.Units)
+		b.credit(now, r.req.Units)
 		r.repaid = true
 	}
 }
 
-func (s *Scheduler) drop(r *run) {
+func (s *Scheduler) removeRun(r *run) {
 	if r.orphan {
 		s.orphans--
 	}
@@ -311,8 +312,8 @@
 	delete(s.runs, r.req.Key)
 }
 
-// Adopt books a run that another scheduler placed, or one of its own that its
-// holder still has. Its holder reports its end.
+// Adopt books a run that another scheduler placed, or one of its own that its holder
+// still has. Its holder reports its end.
 func (s *Scheduler) Adopt(now Time, a Run) {
 	if old := s.runs[a.Key]; old != nil && old.server.ID == a.Server {
 		if old.orphan {
@@ -321,24 +322,24 @@
 		}
 		return
 	}
-	s.forget(now, a.Key)
+	s.discard(now, a.Key)
 	srv, svc := s.servers[a.Server], s.services[a.Service]
 	if srv == nil || svc == nil {
 		return
 	}
 	req := &Request{Key: a.Key, Service: a.Service, PromptTokens: a.PromptTokens, OutputTokens: a.OutputTokens, MaxPause: a.MaxPause, Account: a.Account, Fingerprint: a.Fingerprint, Repeatable: a.Repeatable}
 	r := srv.start(now, svc, req)
-	if a.Elapsed < countedRun {
+	if a.Elapsed < adoptedSendWindow {
 		srv.pacer.take(now)
 	}
 	r.ends = max(now, r.ends-a.Elapsed)
-	r.repaid = true // charged elsewhere
+	r.repaid = true // charged by the scheduler that placed it
 	s.runs[a.Key] = r
 	s.countCopy(a.Fingerprint, 1)
 }
 
-// HolderGone drops what a holder had waiting. Its runs go on at their servers
-// until their predicted end, unless it comes back and reports them.
+// HolderGone drops the waiting requests of a holder. Its runs stay booked until their
+// predicted end, unless the holder comes back and reports them.
 func (s *Scheduler) HolderGone(now Time, holder uint64) {
 	for _, svc := range s.services {
 		svc.queue.each(func(w *waiting) (bool, bool) { return w.Holder == holder, false })
@@ -352,8 +353,8 @@
 	}
 }
 
-// Tick lets time pass: requests that waited too long are refused, orphaned
-// runs end, places of benched servers open again.
+// Tick handles the passing of time: it refuses requests that waited too long, ends
+// orphaned runs and places requests at servers whose ejection is over.
 func (s *Scheduler) Tick(now Time) []Decision {
 	s.out = nil
 	s.expireOrphans(now)
@@ -362,8 +363,8 @@
 	for _, svc := range s.services {
 		if svc.queue.size > 0 {
 			s.fillTrial(now, svc)
-			s.fill(now, svc, s.withRoom(now, svc))
-			s.expire(now, svc)
+			s.fill(now, svc, s.serversWithRoom(now, svc))
+			s.refuseOverdue(now, svc)
 		}
 	}
 	return s.out
@@ -375,12 +376,12 @@
 	}
 	for _, r := range s.runs {
 		if r.orphan && now >= r.ends {
-			s.drop(r)
+			s.removeRun(r)
 		}
 	}
 }
 
-// Waiting returns how many requests wait, over all services.
+// Waiting returns the number of waiting requests over all services.
 func (s *Scheduler) Waiting() int {
 	n := 0
 	for _, svc := range s.services {
@@ -389,7 +390,7 @@
 	return n
 }
 
-// Running returns how many runs are booked.
+// Running returns the number of booked runs.
 func (s *Scheduler) Running() int { return len(s.runs) }
 
 // refuseQuarantined refuses w until it may be tried again.
--- a/internal/sched/scheduler_test.go
+++ b/internal/sched/scheduler_test.go
@@ -20,7 +20,7 @@
 	plain  = "plain"
 )
 
-// newScheduler has n servers of each kind with slots places.
+// newScheduler returns a scheduler with n servers of each kind, each with the given slots.
 func newScheduler(n, slots int) *Scheduler {
 	s := New(DefaultPolicy())
 	s.SetServices(0, []Service{{Name: engine, Engine: true, KVTokens: 200_000, Stride: 3}, {Name: plain}})
@@ -34,8 +34,8 @@
 	return s
 }
 
-// stream is a request of 1,000 prompt tokens with 8 s, of which 800 ms are the
-// latency objective.
+// stream is a request of 1,000 prompt tokens with a deadline of 8 s and a latency target of
+// 800 ms.
 func stream(id uint64, now Time, priority int) Request {
 	return Request{
 		Key: Key{Holder: 1, ID: id}, Service: engine, Account: "acc", Priority: priority,
@@ -76,7 +76,7 @@
 }
 
 var _ = Describe("placing", func() {
-	It("places at once while there is room and never above the slots", func() {
+	It("places requests at once while there is room, and never more than the slots", func() {
 		s := newScheduler(1, 2)
 		for id := range uint64(2) {
 			out, waits := s.Submit(0, stream(id, 0, 0))
@@ -105,10 +105,9 @@
 		Expect(order).To(Equal([]uint64{3, 4, 2}))
 	})
 
-	// Under a burst every appraisal waits 0.8 s and then comes late, though half
-	// of them could have been in time: the oldest goes first, and it has just
-	// missed its objective.
-	It("puts what has missed its objective behind what can still meet it", func() {
+	// In a burst every request waits 0.8 s and is late, although half of them could be on time,
+	// if the oldest goes first: it has just missed its latency target.
+	It("moves requests that missed their latency target behind those that can still meet it", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
@@ -117,7 +116,7 @@
 		Expect(placed(finish(s, 950*ms, 3, OK))).To(Equal([]uint64{2}))
 	})
 
-	It("counts the learned time to the first event against the objective", func() {
+	It("subtracts the learned time to the first event from the latency target", func() {
 		s := newScheduler(1, 1)
 		for id := uint64(1); id < 40; id++ {
 			s.Submit(0, stream(id, 0, 0))
@@ -146,7 +145,7 @@
 		Expect(out[0].Server).To(Equal("e1"))
 	})
 
-	It("does not place at a server that leaves, or that was tried", func() {
+	It("does not place at a draining server or one that was tried already", func() {
 		s := newScheduler(2, 4)
 		s.SetServers(0, []Server{
 			{ID: "e0", Service: engine, Slots: 4, Draining: true},
@@ -159,9 +158,9 @@
 		Expect(out[0].Server).To(Equal("e2"))
 	})
 
-	// A server answers every second call with a failure while its health check
-	// is good. Callers see failures for as long as it gets its even share.
-	It("turns away from a server that fails its requests, and back in time", func() {
+	// A server answers every second call with a failure while its health check is good. Callers
+	// see failures for as long as the server gets an even share of the calls.
+	It("avoids a server that fails its requests, and tries it again later", func() {
 		s := newScheduler(2, 4)
 		now := Time(0)
 		counts := map[string]int{}
@@ -176,7 +175,7 @@
 			finish(s, now, id, result)
 		}
 		Expect(counts["p0"]).To(BeNumerically("<", 15))
-		now += 10 * failureMemory
+		now += 10 * failureHalfLife
 		counts = map[string]int{}
 		for id := uint64(100); id < 104; id++ {
 			out, _ := s.Submit(now, call(id, now))
@@ -185,7 +184,7 @@
 		Expect(counts).To(HaveKey("p0"))
 	})
 
-	It("leaves a server alone that cannot be reached", func() {
+	It("ejects an unreachable server", func() {
 		s := newScheduler(1, 4)
 		s.Submit(0, call(1, 0))
 		finish(s, 0, 1, Unreachable)
@@ -194,7 +193,7 @@
 		Expect(waits).To(BeTrue())
 	})
 
-	It("keeps to an engine's memory", func() {
+	It("stays within an engine's memory", func() {
 		s := newScheduler(1, 8)
 		big := stream(1, 0, 0)
 		big.PromptTokens = 150_000
@@ -208,7 +207,7 @@
 })
 
 var _ = Describe("refusing", func() {
-	It("refuses at once what waited its part of the time, and says when to come back", func() {
+	It("refuses a request that has waited its share of the time, with a retry delay", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
@@ -218,7 +217,7 @@
 		Expect(out[0].RetryAfter).To(BeNumerically("~", 1650*ms, 10*ms)) // of 5.5 s left
 	})
 
-	It("says so when there is no server", func() {
+	It("reports that there is no server", func() {
 		s := newScheduler(0, 1)
 		s.Submit(0, call(1, 0))
 		Expect(refused(s.Tick(300 * ms))).To(Equal(map[uint64]Reason{1: NoServer}))
@@ -229,7 +228,7 @@
 		Expect(refused(out)).To(Equal(map[uint64]Reason{1: NoService}))
 	})
 
-	It("spends a bounded budget on repeats", func() {
+	It("limits repeats by the retry budget", func() {
 		s := newScheduler(1, 1000)
 		repeats := 0
 		for id := range uint64(200) {
@@ -251,7 +250,7 @@
 		return s
 	}
 
-	It("lets no more run than the rate and the burst", func() {
+	It("runs no more than the rate and the burst allow", func() {
 		s := limited(10_600, 10_600) // ten streams a second
 		runs := 0
 		for i := range 1000 {
@@ -266,7 +265,7 @@
 		Expect(runs).To(BeNumerically("~", 100, 10))
 	})
 
-	It("waits a little for the quota instead of refusing", func() {
+	It("waits briefly for the quota instead of refusing", func() {
 		s := limited(10_600, 2_120)
 		var waits bool
 		for id := range uint64(3) {
@@ -276,26 +275,25 @@
 		Expect(placed(s.Tick(500 * ms))).NotTo(BeEmpty())
 	})
 
-	It("refuses what the quota cannot cover in time", func() {
+	It("refuses a request that the quota cannot cover in time", func() {
 		s := limited(100, 100)
 		s.Submit(0, stream(1, 0, 0))
 		out, _ := s.Submit(0, stream(2, 0, 0))
 		Expect(refused(out)).To(HaveKeyWithValue(uint64(2), Quota))
 	})
 
-	// A request is charged, the server is full and does not run it, and the
-	// account's next request is refused although nothing of it ever ran.
-	It("gives back what did not run", func() {
+	// A request is charged to its account, the server is full and does not run it. Without a refund
+	// the account's next request is refused although nothing ran.
+	It("refunds a request that did not run", func() {
 		s := limited(1, 4_000)
 		s.Submit(0, stream(1, 0, 0))
 		finish(s, 0, 1, Rejected)
-		out, _ := s.Submit(rejectedPause, stream(2, rejectedPause, 0))
+		out, _ := s.Submit(rejectedBackoff, stream(2, rejectedBackoff, 0))
 		Expect(placed(out)).To(Equal([]uint64{2}))
 	})
 
-	// An account within its limit is refused for a second after a change of
-	// home: the new home's part of the quota grows tenfold, but what it had
-	// left of its small part was all that it could give.
+	// After a change of home an account within its limit was refused for a second: the new home's
+	// share of the quota grows tenfold, but its bucket held only what was left of the small share.
 	It("has half of the burst ready when a host becomes the home, however often", func() {
 		s := newScheduler(1, 1000)
 		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
@@ -333,19 +331,19 @@
 		Expect(placed(finish(s, 10*ms, 9, OK))).To(Equal([]uint64{1}))
 	})
 
-	It("drops what a gone holder had waiting and keeps its runs for a while", func() {
+	It("drops the waiting requests of a lost holder and keeps its runs for a while", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
 		s.HolderGone(0, 1)
 		Expect(s.Waiting()).To(BeZero())
 		Expect(s.Running()).To(Equal(1))
-		s.Tick(maxPredicted + 2*orphanGrace)
+		s.Tick(maxPredictedTime + 2*orphanGrace)
 		Expect(s.Running()).To(BeZero())
 	})
 
-	// 72 hosts lose their home at once. Each used one place of every server, the
-	// engines were filled twelve times over and rejected a third of all work.
+	// 72 hosts lose their home at once. When each used one slot of every server, the engines were
+	// filled twelve times over and rejected a third of all work.
 	It("does not fill servers several times over when many hosts decide alone", func() {
 		const hosts, servers, slots = 72, 20, 6
 		running := map[string]int{}
@@ -374,7 +372,7 @@
 		Expect(total).To(BeNumerically("~", servers*slots, servers*slots/3))
 	})
 
-	It("keeps to its part of the servers when it decides alone", func() {
+	It("stays within its share of the servers when it decides alone", func() {
 		s := newScheduler(1, 8)
 		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
 		n := 0
--- a/internal/sched/server.go
+++ b/internal/sched/server.go
@@ -42,8 +42,8 @@
 	fullUntil   Time
 	coldUntil   Time
 	lot         float64 // 0 to 1, drawn for this scheduler; see Scheduler.places
-	cache       partCache
-	kept        connections
+	cache       prefixCache
+	kept        idleConnections
 	known       Time // when it was first listed
 	wellAt      Time // when it answered last
 	ended       bool // nothing listens there any more
@@ -101,9 +101,9 @@
 		d := svc.callTime() * time.Duration(s.running+s.Slots) / time.Duration(max(1, s.Slots))
 		return prediction{first: d, total: d}
 	}
-	prompt := r.PromptTokens - s.cache.held(r.Parts)
+	prompt := r.PromptTokens - s.cache.cachedTokens(r.Parts)
 	var p prediction
-	p.prefill = time.Duration(float64(prompt) * svc.readShare * float64(s.tokenTime))
+	p.prefill = time.Duration(float64(prompt) * svc.prefillRatio * float64(s.tokenTime))
 	p.first = max(0, s.prefillFree-now) + p.prefill + s.tokenTime
 	p.total = p.first + time.Duration(r.OutputTokens)*s.tokenTime
 	if now < s.coldUntil {
@@ -118,7 +118,7 @@
 	if s.failing == 0 {
 		return 0
 	}
-	return s.failing * math.Exp2(-float64(now-s.failedAt)/float64(failureMemory))
+	return s.failing * math.Exp2(-float64(now-s.failedAt)/float64(failureHalfLife))
 }
 
 func (s *server) start(now Time, svc *service, r *Request) *run {
@@ -128,8 +128,8 @@
 	tokens := r.PromptTokens + r.OutputTokens
 	s.tokens += tokens
 	s.cache.use(now, r.Parts)
-	s.kept.use(r.Holder)
-	placed := &run{req: r, server: s, placed: now, first: p.first, ends: now + min(p.total, maxPredicted), tokens: tokens}
+	s.kept.acquire(r.Holder)
+	placed := &run{req: r, server: s, placed: now, first: p.first, ends: now + min(p.total, maxPredictedTime), tokens: tokens}
 	s.runs = append(s.runs, placed)
 	return placed
 }
@@ -160,21 +160,21 @@
 	}
 	switch o.Result {
 	case OK:
-		s.kept.keep(now, o.Holder)
-		s.failing = s.failureShare(now) * (1 - failureRate)
+		s.kept.release(now, o.Holder)
+		s.failing = s.failureShare(now) * (1 - failureWeight)
 		s.failedAt = now
 		s.bench = s.timeOut
 	case Errored:
 		s.failed(now)
 	case Broken, Silent, Unreachable, Ended:
 		s.failed(now)
-		if o.Result != Broken || s.failing > benchShare {
+		if o.Result != Broken || s.failing > ejectionFailureShare {
 			s.leaveAlone(now)
 		}
 	case Stalled:
 		s.leaveAlone(now)
 	case Rejected:
-		s.fullUntil = now + rejectedPause
+		s.fullUntil = now + rejectedBackoff
 	case Gone:
 		s.Draining = true
 	}
@@ -184,7 +184,7 @@
 // counts in full: engines differ several times in speed, and a home that has just
 // begun would send long prompts to slow ones until it has seen a dozen answers.
 func (s *server) learnPace(pace time.Duration) {
-	rate := paceRate
+	rate := tokenTimeWeight
 	if !s.paced {
 		rate, s.paced = 1, true
 	}
@@ -199,11 +199,11 @@
 		return
 	}
 	s.benchUntil = now + s.bench
-	s.bench = min(timeOutMost*s.timeOut, 2*s.bench)
+	s.bench = min(maxEjectionFactor*s.timeOut, 2*s.bench)
 }
 
 func (s *server) failed(now Time) {
 	f := s.failureShare(now)
-	s.failing = f + (1-f)*failureRate
+	s.failing = f + (1-f)*failureWeight
 	s.failedAt = now
 }
--- a/internal/sched/alone_test.go
+++ b/internal/sched/share_test.go
@@ -7,20 +7,19 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("quotas of a host that decides for itself", func() {
-	// All hosts are killed and start again. For the half second until they have a
-	// home each has a 72nd of every quota, less than one request needs. Callers far
-	// below their limits were told that they are over it, and to come back after
-	// the ten seconds in which a 72nd refills.
-	alone := func() *Scheduler {
+var _ = Describe("quotas of a host that decides alone", func() {
+	// All hosts are killed and restart. For the half second until they have a home each has a 72nd of
+	// every quota, less than one request needs. Callers far below their limits were told that they are over
+	// their quota, and to retry after the ten seconds in which a 72nd refills.
+	hostWithoutHome := func() *Scheduler {
 		s := newScheduler(1, 8)
 		s.SetAccounts(0, []Account{{Name: "acc", Rate: 30_000, Burst: 30_000}})
 		s.SetShare(0, Share{Servers: 1, Limits: 0.01})
 		return s
 	}
 
-	It("keep a request waiting for the home", func() {
-		s := alone()
+	It("let a request wait for the home", func() {
+		s := hostWithoutHome()
 		s.Submit(0, stream(1, 0, 0)) // more than the whole bucket; it leaves a debt
 		Expect(placed(s.Tick(600 * ms))).To(Equal([]uint64{1}))
 		out, waits := s.Submit(610*ms, stream(2, 610*ms, 0))
@@ -31,8 +30,8 @@
 		Expect(placed(s.Tick(800 * ms))).To(Equal([]uint64{2}))
 	})
 
-	It("refuse it when it has waited as long as may be, and call it back soon", func() {
-		s := alone()
+	It("refuse it after the maximum wait, with a short retry delay", func() {
+		s := hostWithoutHome()
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
 		out := s.Tick(2500 * ms) // 0.3 of its 8 s
@@ -41,7 +40,10 @@
 	})
 })
 
-var _ = Describe("a fleet that starts anew", func() {
+var _ = Describe("a fleet that restarts", func() {
+	// An account ran 6% over its limit when all 68 hosts lost power. Each host restarts with a
+	// share of the quota that is smaller than one request, and with half of it available. Half a
+	// second later each let one request pass and left a debt, which is dropped when there is a home.
 	It("does not give out an account's quota once for each host", func() {
 		const hosts, rate = 68, 30_000
 		units := 0.0
@@ -61,7 +63,10 @@
 })
 
 var _ = Describe("retries of hosts that decide alone", func() {
-	It("stay within the service's budget together", func() {
+	// All hosts of a fleet decide alone for a moment after a loss of power, while servers fail.
+	// When each had the whole retry budget, 72 hosts sent 1,440 repeats where 184 are allowed, to
+	// servers that were failing.
+	It("stay within the service's retry budget in total", func() {
 		const hosts = 72
 		repeats := 0
 		for range hosts {
@@ -77,7 +82,7 @@
 		Expect(repeats).To(BeNumerically("<=", DefaultPolicy().RetryBurst))
 	})
 
-	It("are whole again at a home", func() {
+	It("have the whole budget again at a home", func() {
 		s := newScheduler(1, 1000)
 		s.SetShare(0, Share{Servers: 1, Limits: 1.0 / 72})
 		s.SetShare(0, Share{Servers: 1, Limits: 1})
--- a/internal/sched/sizes.go
+++ b/internal/sched/sizes.go
@@ -7,85 +7,87 @@
 )
 
 const (
-	// sizeClasses is how many parts of a lane's requests are told apart by the work that they
-	// bring: sizeCuts are the shares of the requests that are smaller.
+	// sizeClasses is the number of classes into which a priority's requests are divided by
+	// their expected work. sizeQuantiles are the quantiles of the work that separate them.
 	sizeClasses = 4
-	// sizeSample is how many requests the cuts are worked out from, anew each sizeRefresh.
-	sizeSample  = 256
-	sizeRefresh = 32
-	// sizeMemory is the time in which older requests fade to a third: a few bursts' worth of
-	// answers, so that a class which got its part a moment ago does not lose it for good.
-	sizeMemory = 15 * time.Second
-	// sizeLeast is how many of a class must have come lately before it is helped.
-	sizeLeast = 2
+	// sizeSamples is the number of latest requests from which the thresholds are computed,
+	// every sizeRefreshInterval requests.
+	sizeSamples         = 256
+	sizeRefreshInterval = 32
+	// sizeDecay is the time constant with which older requests decay. It covers the answers of
+	// a few bursts, so that a class that was served a moment ago does not lose its share for good.
+	sizeDecay = 15 * time.Second
+	// minClassArrivals is the minimum of recent arrivals of a class before it counts as
+	// underserved.
+	minClassArrivals = 2
 )
 
-var sizeCuts = [sizeClasses - 1]float64{0.5, 0.7, 0.9}
+var sizeQuantiles = [sizeClasses - 1]float64{0.5, 0.7, 0.9}
 
-// tally is a number of requests of which older ones fade.
-type tally struct {
+// decayingCount is an exponentially decaying number of requests.
+type decayingCount struct {
 	value float64
 	at    Time
 }
 
-func (c *tally) add(now Time, n float64) {
-	c.value = max(0, c.now(now)+n)
+func (c *decayingCount) add(now Time, n float64) {
+	c.value = max(0, c.valueAt(now)+n)
 	c.at = now
 }
 
-func (c *tally) now(now Time) float64 {
-	return c.value * math.Exp(-float64(now-c.at)/float64(sizeMemory))
+func (c *decayingCount) valueAt(now Time) float64 {
+	return c.value * math.Exp(-float64(now-c.at)/float64(sizeDecay))
 }
 
-// sizes follows how often the requests of a lane are served, by the work that they bring.
+// sizeStats tracks how often the requests of a priority are served, by their expected work.
 //
-// Guard: in an overload short answers before long ones serve most callers, but for the
-// callers of long ones it is an outage: each time they are put off, are late, and are refused
-// again. So no class is to be served less often than a part of what the lane is.
-type sizes struct {
-	sample  []time.Duration // of work, a ring once it is full
-	next    int
-	cuts    [sizeClasses - 1]time.Duration
-	asked   [sizeClasses]tally
-	served  [sizeClasses]tally // placed, and not ended without an answer
-	refresh int                // requests until the cuts are worked out anew
+// In an overload, serving short answers before long ones helps the most callers, but for the
+// callers of long answers it is an outage: each time they are delayed, become late and are
+// refused again. So no class is to be served less often than a fraction of the rate of its priority.
+type sizeStats struct {
+	sample       []time.Duration // of work; a ring buffer once it is full
+	next         int
+	thresholds   [sizeClasses - 1]time.Duration
+	arrived      [sizeClasses]decayingCount
+	served       [sizeClasses]decayingCount // placed, and not ended without an answer
+	untilRefresh int                        // requests until the thresholds are computed again
 }
 
-// ask notes a request that brings so much work, and returns its class.
-func (z *sizes) ask(now Time, work time.Duration) int {
-	if len(z.sample) < sizeSample {
+// classify records a request with the given work and returns its size class.
+func (z *sizeStats) classify(now Time, work time.Duration) int {
+	if len(z.sample) < sizeSamples {
 		z.sample = append(z.sample, work)
 	} else {
 		z.sample[z.next] = work
-		z.next = (z.next + 1) % sizeSample
+		z.next = (z.next + 1) % sizeSamples
 	}
-	if z.refresh--; z.refresh <= 0 {
-		z.refresh = sizeRefresh
-		z.cut()
+	if z.untilRefresh--; z.untilRefresh <= 0 {
+		z.untilRefresh = sizeRefreshInterval
+		z.updateThresholds()
 	}
 	class := 0
-	for class < len(z.cuts) && work > z.cuts[class] {
+	for class < len(z.thresholds) && work > z.thresholds[class] {
 		class++
 	}
-	z.asked[class].add(now, 1)
+	z.arrived[class].add(now, 1)
 	return class
 }
 
-func (z *sizes) cut() {
+func (z *sizeStats) updateThresholds() {
 	sorted := slices.Sorted(slices.Values(z.sample))
-	for i, part := range sizeCuts {
-		z.cuts[i] = sorted[int(part*float64(len(sorted)))]
+	for i, quantile := range sizeQuantiles {
+		z.thresholds[i] = sorted[int(quantile*float64(len(sorted)))]
 	}
 }
 
-// behind reports whether a class was served less often lately than a part of what the lane
-// was.
-func (z *sizes) behind(now Time, class int, part float64) bool {
-	asked, served := 0.0, 0.0
-	for i := range z.asked {
-		asked += z.asked[i].now(now)
-		served += z.served[i].now(now)
+// underserved reports whether a class was recently served less often than minShare of the
+// rate at which all requests of the priority were.
+func (z *sizeStats) underserved(now Time, class int, minShare float64) bool {
+	arrived, served := 0.0, 0.0
+	for i := range z.arrived {
+		arrived += z.arrived[i].valueAt(now)
+		served += z.served[i].valueAt(now)
 	}
-	mine := z.asked[class].now(now)
-	return mine >= sizeLeast && z.served[class].now(now)*asked < part*served*mine
+	own := z.arrived[class].valueAt(now)
+	return own >= minClassArrivals && z.served[class].valueAt(now)*arrived < minShare*served*own
 }
--- a/internal/sched/spread.go
+++ b/internal/sched/spread.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// spread keeps a moving mean of durations and of how far they lie from it.
-type spread struct {
+// durationEstimate keeps moving averages of durations and of their deviation from the mean.
+type durationEstimate struct {
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// spreadRate is the weight of a new sample: the last 20 or so count.
-const spreadRate = 0.05
+// durationEstimateWeight is the weight of a new sample: about the last 20 count.
+const durationEstimateWeight = 0.05
 
-func (s *spread) add(d time.Duration) {
-	if s.mean == 0 {
-		s.mean, s.deviation = d, d/4
+func (e *durationEstimate) add(d time.Duration) {
+	if e.mean == 0 {
+		e.mean, e.deviation = d, d/4
 		return
 	}
-	off := d - s.mean
-	s.mean += time.Duration(float64(off) * spreadRate)
-	s.deviation += time.Duration(float64(off.Abs()-s.deviation) * spreadRate)
+	diff := d - e.mean
+	e.mean += time.Duration(float64(diff) * durationEstimateWeight)
+	e.deviation += time.Duration(float64(diff.Abs()-e.deviation) * durationEstimateWeight)
 }
 
-// high is a duration that few exceed.
-func (s *spread) high() time.Duration { return s.mean + 2*s.deviation }
+// upperBound is a duration that few samples exceed.
+func (e *durationEstimate) upperBound() time.Duration { return e.mean + 2*e.deviation }
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -90,7 +90,7 @@
 		return true
 	}
 	svc := s.services[r.Service]
-	return s.suspects.Recurrent(r.Fingerprint) && svc.tried > 0 && now-svc.tried < trialSpace
+	return s.suspects.Recurrent(r.Fingerprint) && svc.recurrentPlacedAt > 0 && now-svc.recurrentPlacedAt < trialSpace
 }
 
 // keptApart reports whether srv must not take r for the sake of others there, or of r.
