--- a/internal/dispatch/charges.go
+++ b/internal/dispatch/charges.go
@@ -2,27 +2,29 @@
 
 import "github.com/gentianflow/gentianflow/internal/wire"
 
-// charge counts a place of this host's own loop, or one that was not used with times -1.
-// The caller holds mu.
-func (c *Client) charge(ask *Ask, times int) {
-	if !c.whole && ask.Account != "" && ask.Units > 0 {
-		c.charges[ask.Account] += times * ask.Units
+// charge records the units of a placement that the local loop made, so that the home can
+// charge them to the account. sign is 1, or -1 to cancel a placement whose request did not
+// run. The caller holds mu.
+func (c *Client) charge(ask *Ask, sign int) {
+	if !c.fullQuotas && ask.Account != "" && ask.Units > 0 {
+		c.charges[ask.Account] += sign * ask.Units
 	}
 }
 
-// setWhole notes whether this host gives out the whole of each quota, and so owes nothing to
-// another one.
-func (c *Client) setWhole(whole bool) {
+// setFullQuotas records whether this host enforces each quota in full. If it does, it has
+// no charges to report to another host.
+func (c *Client) setFullQuotas(fullQuotas bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.whole = whole
-	if whole {
+	c.fullQuotas = fullQuotas
+	if fullQuotas {
 		clear(c.charges)
 	}
 }
 
-// tellCharges tells the home that is followed what this host gave out by itself.
-func (c *Client) tellCharges(l *homeLink) {
+// sendCharges reports to l, if it is the home that is followed, the units that the local
+// loop has placed.
+func (c *Client) sendCharges(l *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link != l {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -15,9 +15,9 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Ask is a request's wish for a place at a backend server.
+// Ask is a request for a placement at a backend server.
 type Ask struct {
-	Request      string // the caller's id, for the log
+	Request      string // the caller's request ID, for logs
 	Service      string
 	Account      string
 	Priority     int
@@ -26,37 +26,37 @@
 	Units        int
 	Parts        []sched.Part
 	Arrived      time.Time
-	Aim          time.Time
-	LeavesAt     time.Time // when its caller gives up for want of an event, zero: at the deadline
+	Aim          time.Time // latency target
+	LeavesAt     time.Time // caller timeout: when the caller gives up without a first event, zero: at the deadline
 	Deadline     time.Time
-	MaxPause     time.Duration // longest between events of a stream that is on time, 0: any
+	MaxPause     time.Duration // longest interval between events of a stream that is on time, 0: no limit
 	Repeat       bool
 	Avoid        []string
 	Fingerprint  quarantine.Fingerprint
 	Route        string
-	Repeatable   bool // its run may be cut off: it may run again, or go on, elsewhere
+	Repeatable   bool // the run may be aborted and repeated or resumed on another server
 }
 
-// Place is the permission to send a request once to a server.
+// Place is a placement: the permission to send a request once to a backend server.
 type Place struct {
 	ID      uint64
 	Server  string
 	Address string
-	// Alone: this host gave it, not a home.
+	// Alone is set if the local loop made the placement, not the home.
 	Alone bool
-	// ListAge is how old this host's list of servers was when it got the place.
+	// ListAge is the age of this host's server list when it received the placement.
 	ListAge time.Duration
 }
 
-// ServerList is what this host knows of backend servers.
+// ServerList is this host's view of the backend servers.
 type ServerList interface {
-	// Leaving reports whether this host knows that a server leaves.
+	// Leaving reports whether a server is known to be shutting down.
 	Leaving(server string) bool
-	// Age is how long ago the store, or a reader of it, told of servers last.
+	// Age is the time since the store, or a host that reads it, last reported servers.
 	Age() time.Duration
 }
 
-// Refused is the error of an ask that gets no place. Nothing ran.
+// Refused is the error for a refused placement request. Nothing ran.
 type Refused struct{ sched.Decision }
 
 // Error implements error.
@@ -64,69 +64,68 @@
 	return fmt.Sprintf("%s (%d waiting, %d servers usable)", r.Reason, r.Waiting, r.Usable)
 }
 
-// Silence bounds. The shortest latency objective is 100 ms, and a fallback
+// Timeouts for an unresponsive home. The shortest latency target is 100 ms, and a fallback
 // must leave most of it.
 const (
-	// The home may take ackShare of an ask's latency objective, between
-	// ackLeast and ackMost, to answer it with a place, a refusal or the word
-	// that it waits. Between availability zones that is 3 ms when all is well;
-	// a home whose processor is a quota may stand still for 80 ms.
-	ackShare = 0.4
-	ackLeast = 40 * time.Millisecond
-	ackMost  = 200 * time.Millisecond
-	// silentAfter is how long a home may leave a ping unanswered while
-	// requests wait there.
-	silentAfter = 300 * time.Millisecond
+	// The home has ackFraction of the time to a placement request's latency target, within
+	// minAckTimeout and maxAckTimeout, to answer with a placement, a refusal or a
+	// confirmation that the request is queued. The answer takes 3 ms between availability
+	// zones in normal operation; a home under a CPU quota can be throttled for 80 ms.
+	ackFraction   = 0.4
+	minAckTimeout = 40 * time.Millisecond
+	maxAckTimeout = 200 * time.Millisecond
+	// pingTimeout is how long a ping to the home may stay unanswered while requests wait
+	// there.
+	pingTimeout = 300 * time.Millisecond
 	pingPeriod  = 150 * time.Millisecond
-	// suspectTime is how long asks go on waiting at a home that fell silent. It
-	// outlasts the pauses seen of hosts whose processor is a quota or that are
-	// frozen for a moment (0.25 to 0.4 s with silentAfter before it), and leaves
-	// half of the 1.2 s that the shortest streams may wait.
-	suspectTime = 400 * time.Millisecond
-	watchPeriod = 20 * time.Millisecond
-	// staleAfter is how old a place may be when its holder gets to use it. A
-	// holder that was frozen wakes with places whose servers may have left.
-	staleAfter   = 500 * time.Millisecond
-	redialPeriod = 250 * time.Millisecond
-	// startPeriod is the same for a host that has just started or lost its home, and
-	// learns of others from one moment to the next.
-	startPeriod = 50 * time.Millisecond
+	// suspectTimeout is how long requests stay queued at an unresponsive home. Together
+	// with the preceding pingTimeout it outlasts the pauses of hosts that are throttled by
+	// a CPU quota or briefly frozen (0.25 to 0.4 s), and it leaves half of the 1.2 s that
+	// the shortest streams may wait.
+	suspectTimeout = 400 * time.Millisecond
+	watchPeriod    = 20 * time.Millisecond
+	// maxPlacementAge is how old a placement may be when the holder receives it. After a
+	// freeze a holder can read old placements whose servers may have shut down since.
+	maxPlacementAge = 500 * time.Millisecond
+	redialPeriod    = 250 * time.Millisecond
+	// startupPeriod replaces redialPeriod on a host that has just started or lost its home,
+	// while its view of the other hosts changes quickly.
+	startupPeriod = 50 * time.Millisecond
 )
 
-// pending is an ask that waits, or the run that came of it.
+// pending is a placement request that waits, or the run that followed its placement.
 type pending struct {
-	ask    *Ask
-	via    *homeLink // nil: the loop of this host
-	sent   time.Time
-	acked  bool
-	placed time.Time // zero while it waits
-	server string
-	done   chan sched.Decision
-	revoke func(*Refused) // of a place, nil: nobody is to be told
+	ask      *Ask
+	via      *homeLink // where the request was sent, nil: the local loop
+	sentAt   time.Time
+	acked    bool
+	placedAt time.Time // zero while it waits
+	server   string
+	done     chan sched.Decision
+	revoke   func(*Refused) // called when the placement is revoked, may be nil
 }
 
-// Client asks for places on behalf of this host. mu guards next, pending, link, whole
-// and charges.
+// Client requests placements on behalf of this host, from the home (the host that runs the
+// scheduler) or from the local loop. mu guards lastID, pending, link, fullQuotas and charges.
 type Client struct {
 	self    ident.Incarnation
 	zone    string
 	loop    *Loop
 	events  *event.Recorder
 	servers ServerList
-	notices *notice.Table // what servers said to this host
+	notices *notice.Table // server notices that this host has received
 
-	mu      sync.Mutex
-	next    uint64
-	pending map[uint64]*pending
-	link    *homeLink // the home that is followed; nil: decide here
-	whole   bool      // this host is the home and gives out the whole of each quota
-	// charges is what this host's own loop gave out of accounts' quotas while it was not,
-	// and the home has not been told.
+	mu         sync.Mutex
+	lastID     uint64
+	pending    map[uint64]*pending
+	link       *homeLink // the home that is followed, nil: the local loop decides
+	fullQuotas bool      // this host is the home and enforces each quota in full
+	// charges holds, by account, the units that the local loop placed while fullQuotas was
+	// not set and that have not been reported to the home.
 	charges map[string]int
 }
 
-// NewClient makes the asking side. Its DeliverLocal must get the loop's
-// decisions.
+// NewClient creates a client. The decisions of loop must be passed to its DeliverLocal.
 func NewClient(self ident.Incarnation, zone string, loop *Loop, servers ServerList, events *event.Recorder) *Client {
 	return &Client{
 		self: self, zone: zone, loop: loop, events: events, servers: servers, notices: notice.NewTable(), pending: map[uint64]*pending{},
@@ -134,13 +133,13 @@
 	}
 }
 
-// Acquire waits for a place. It fails with *Refused, or with the error of ctx.
-// The holder of a place must call Finish.
+// Acquire waits for a placement. It fails with *Refused, or with the error of ctx.
+// The caller must call Finish for each placement.
 func (c *Client) Acquire(ctx context.Context, ask *Ask) (Place, error) {
 	p := &pending{ask: ask, done: make(chan sched.Decision, 1)}
 	c.mu.Lock()
-	c.next++
-	id := c.next
+	c.lastID++
+	id := c.lastID
 	c.pending[id] = p
 	c.send(id, p)
 	c.mu.Unlock()
@@ -150,50 +149,51 @@
 			if d.Reason != 0 {
 				return Place{}, &Refused{d}
 			}
-			return Place{ID: id, Server: d.Server, Address: d.Address, Alone: c.alone(p), ListAge: c.servers.Age()}, nil
+			return Place{ID: id, Server: d.Server, Address: d.Address, Alone: c.decidedLocally(p), ListAge: c.servers.Age()}, nil
 		case <-ctx.Done():
 			c.withdraw(id)
-			return Place{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a place")
+			return Place{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a placement")
 		}
 	}
 }
 
-// alone reports whether the loop of this host decided on p.
-func (c *Client) alone(p *pending) bool {
+// decidedLocally reports whether the local loop decided on p.
+func (c *Client) decidedLocally(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.via == nil
 }
 
-// send passes an ask to the home, or to the loop here. The caller holds mu.
+// send submits a placement request to the home, or to the local loop if no home is followed
+// or its output queue is full. The caller holds mu.
 func (c *Client) send(id uint64, p *pending) {
 	now := time.Now()
-	p.sent, p.acked, p.via = now, false, c.link
+	p.sentAt, p.acked, p.via = now, false, c.link
 	if p.via != nil && p.via.ask(encodeAsk(now, id, p.ask)) {
 		return
 	}
 	c.sendLocal(id, p)
 }
 
-// sendLocal asks the loop of this host. The caller holds mu.
+// sendLocal submits a placement request to the local loop. The caller holds mu.
 func (c *Client) sendLocal(id uint64, p *pending) {
-	p.sent, p.acked, p.via = time.Now(), true, nil
-	m := encodeAsk(p.sent, id, p.ask)
-	c.local(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
+	p.sentAt, p.acked, p.via = time.Now(), true, nil
+	m := encodeAsk(p.sentAt, id, p.ask)
+	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
 		out, _ := s.Submit(at, decodeAsk(at, uint64(c.self), c.zone, m))
 		return out
 	})
 }
 
-// local gives the loop of this host an input. It is called with mu held and
-// must not wait, since the loop's deliveries need mu.
-func (c *Client) local(in input) {
+// pushLocal passes an input to the local loop. The caller holds mu, so pushLocal must not
+// block: the loop needs mu to deliver decisions.
+func (c *Client) pushLocal(in input) {
 	if !c.loop.in.TryPush(in) {
 		go c.loop.push(context.Background(), in)
 	}
 }
 
-// withdraw ends an ask whose caller does not wait for it any more.
+// withdraw cancels a placement request whose caller has stopped waiting.
 func (c *Client) withdraw(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,15 +206,16 @@
 		p.via.withdraw(id)
 		return
 	}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		return s.Withdraw(now, sched.Key{Holder: uint64(c.self), ID: id})
 	})
 }
 
-// Finish reports how the run of a place ended; with the results Pace and
-// Stalled, how it goes while it lasts.
-func (c *Client) Finish(id uint64, result sched.Result, first, pace time.Duration) {
-	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result, First: first, Pace: pace}
+// Finish reports how the run of a placement ended, or, with the results Pace and Stalled,
+// the progress of a run that continues. timeToFirst is the time from dispatch to the first
+// event and tokenInterval the time per output token; both are 0 if unknown.
+func (c *Client) Finish(id uint64, result sched.Result, timeToFirst, tokenInterval time.Duration) {
+	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result, First: timeToFirst, Pace: tokenInterval}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pending[id]
@@ -225,7 +226,7 @@
 		delete(c.pending, id)
 	}
 	if result == sched.Ended && p.via != nil {
-		c.learnLoss(p, first > 0)
+		c.learnLoss(p, timeToFirst > 0)
 	}
 	if p.via != nil {
 		p.via.finish(o)
@@ -234,61 +235,62 @@
 	if result.NotRun() {
 		c.charge(p.ask, -1)
 	}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.Finish(now, o) })
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.Finish(now, o) })
 }
 
-// taught takes over what the home has learned of servers.
-func (c *Client) taught(paces []*wire.Pace) {
-	if len(paces) == 0 {
+// learnEstimates adopts the home's estimates of server speeds.
+func (c *Client) learnEstimates(estimates []*wire.Pace) {
+	if len(estimates) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.local(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
-		s.Teach(decodePaces(paces))
+	c.pushLocal(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
+		s.Teach(decodePaces(estimates))
 		return nil
 	})
 }
 
-// Blame tells that a server failed a request that another one then answered.
+// Blame reports that a server failed a request which another server then answered.
 func (c *Client) Blame(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link != nil {
-		c.link.push(&wire.ToHome{Blamed: []string{server}}) // lost when the ring is full: the next failure tells too
+		c.link.push(&wire.ToHome{Blamed: []string{server}}) // dropped if the queue is full: the next failure is reported as well
 		return
 	}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.Blame(now, server)
 		return nil
 	})
 }
 
-// DeliverLocal takes decisions of the loop of this host.
+// DeliverLocal accepts decisions of the local loop.
 func (c *Client) DeliverLocal(out []sched.Decision) { c.deliver(out, nil) }
 
-// deliver takes decisions for this host, from the loop here or from a home.
+// deliver accepts decisions for this host, from a home or, if via is nil, from the local loop.
 func (c *Client) deliver(out []sched.Decision, via *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range out {
-		c.decide(d, via)
+		c.applyDecision(d, via)
 	}
 }
 
-// decide applies one decision. One that comes from elsewhere than the ask went
-// to crossed a change of home: the ask was sent anew, so the place goes back.
-func (c *Client) decide(d sched.Decision, via *homeLink) {
+// applyDecision applies one decision. A decision that does not come from where the request
+// was last sent crossed a change of home: the request was submitted again, so this placement
+// is returned.
+func (c *Client) applyDecision(d sched.Decision, via *homeLink) {
 	p := c.pending[d.ID]
-	if p != nil && !p.placed.IsZero() && d.Reason == sched.Quarantined {
+	if p != nil && !p.placedAt.IsZero() && d.Reason == sched.Quarantined {
 		if p.revoke != nil {
 			p.revoke(&Refused{d})
 		}
 		return
 	}
-	if p == nil || p.via != via || !p.placed.IsZero() {
+	if p == nil || p.via != via || !p.placedAt.IsZero() {
 		if d.Reason == 0 {
-			c.giveBack(d.ID, via, sched.Unused)
+			c.returnPlacement(d.ID, via, sched.Unused)
 		}
 		return
 	}
@@ -298,49 +300,51 @@
 		p.done <- d
 		return
 	}
-	if now.Sub(p.sent)-d.Waited > staleAfter {
-		c.giveBack(d.ID, via, sched.Unused)
+	if now.Sub(p.sentAt)-d.Waited > maxPlacementAge {
+		c.returnPlacement(d.ID, via, sched.Unused)
 		c.send(d.ID, p)
 		return
 	}
-	// Guard: a home that is cut off from the store goes on placing at servers
-	// that have left since. This host may know better; giving the place back
-	// so tells the home, and the request asks again.
+	// A home that has lost its connection to the store still places at servers that have
+	// shut down since. If this host knows of the shutdown, it returns the placement with
+	// the result Gone, which informs the home, and submits the request again.
 	if c.leaving(d.Server) {
-		c.giveBack(d.ID, via, sched.Gone)
+		c.returnPlacement(d.ID, via, sched.Gone)
 		c.send(d.ID, p)
 		return
 	}
-	// The home has been told before it gets the place back.
+	// The notice was sent to the home before, so the home knows of the backoff when the
+	// placement is returned.
 	if c.notices.Of(d.Server).Rest(now) > 0 {
-		c.giveBack(d.ID, via, sched.Unused)
+		c.returnPlacement(d.ID, via, sched.Unused)
 		c.send(d.ID, p)
 		return
 	}
-	p.placed, p.server, p.acked = now, d.Server, true
+	p.placedAt, p.server, p.acked = now, d.Server, true
 	if via == nil {
 		c.charge(p.ask, 1)
 	}
 	p.done <- d
 }
 
-// leaving reports whether this host knows that a server leaves: from the list, or from the
-// server itself.
+// leaving reports whether a server is known to be shutting down, from the server list or
+// from a notice of the server itself.
 func (c *Client) leaving(server string) bool {
 	return c.servers.Leaving(server) || c.notices.Of(server).Leaving
 }
 
-func (c *Client) giveBack(id uint64, via *homeLink, why sched.Result) {
-	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: why}
+// returnPlacement returns an unused placement to the scheduler that made it.
+func (c *Client) returnPlacement(id uint64, via *homeLink, result sched.Result) {
+	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result}
 	if via != nil {
 		via.finish(o)
 		return
 	}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.Finish(now, o) })
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.Finish(now, o) })
 }
 
-// queued notes that the home has an ask in its queue.
-func (c *Client) queued(ids []uint64, via *homeLink) {
+// markQueued records that the home has queued the placement requests.
+func (c *Client) markQueued(ids []uint64, via *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
@@ -350,12 +354,12 @@
 	}
 }
 
-// Pending returns how many asks wait and how many runs last.
+// Pending returns the numbers of waiting placement requests and of current runs.
 func (c *Client) Pending() (waiting, running int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.pending {
-		if p.placed.IsZero() {
+		if p.placedAt.IsZero() {
 			waiting++
 		} else {
 			running++
--- a/internal/dispatch/client_test.go
+++ b/internal/dispatch/client_test.go
@@ -22,12 +22,12 @@
 
 const self = 7
 
-// hostOf runs a loop with servers of one service and the client of its host.
-func hostOf(leaving func(string) bool, servers ...string) (*Client, *Loop) {
+// startHost runs a loop with servers of one service and the client of its host.
+func startHost(leaving func(string) bool, servers ...string) (*Client, *Loop) {
 	events := event.NewRecorder("h", "i", 64, log.NewNopLogger())
 	var c *Client
 	loop := NewLoop(sched.DefaultPolicy(), events, func(out []sched.Decision) { c.DeliverLocal(out) })
-	c = NewClient(self, "z", loop, listed(leaving), events)
+	c = NewClient(self, "z", loop, serverListFunc(leaving), events)
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetServices(now, []sched.Service{{Name: "svc"}})
 		var list []sched.Server
@@ -47,18 +47,18 @@
 	return &Ask{Service: "svc", Arrived: now, Aim: now.Add(time.Second), Deadline: now.Add(2 * time.Second)}
 }
 
-func never(string) bool { return false }
+func neverLeaving(string) bool { return false }
 
-// listed is a list of servers that is always fresh, told by who leaves.
-type listed func(server string) bool
+// serverListFunc is an always current ServerList; the function reports which servers are leaving.
+type serverListFunc func(server string) bool
 
-func (l listed) Leaving(server string) bool { return l(server) }
+func (l serverListFunc) Leaving(server string) bool { return l(server) }
 
-func (l listed) Age() time.Duration { return 0 }
+func (l serverListFunc) Age() time.Duration { return 0 }
 
-var _ = Describe("asking for a place", func() {
-	It("gets one, and the next waits until it is finished", func() {
-		c, _ := hostOf(never, "a")
+var _ = Describe("requesting a placement", func() {
+	It("succeeds while a server has room, and waits until a run has finished otherwise", func() {
+		c, _ := startHost(neverLeaving, "a")
 		first, err := c.Acquire(context.Background(), ask())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.Server).To(Equal("a"))
@@ -72,8 +72,8 @@
 		Eventually(second).Should(Receive(BeNil()))
 	})
 
-	It("is refused with a reason when nothing has room in time", func() {
-		c, _ := hostOf(never)
+	It("is refused with a reason if no server has room in time", func() {
+		c, _ := startHost(neverLeaving)
 		_, err := c.Acquire(context.Background(), ask())
 		var refused *Refused
 		Expect(errors.As(err, &refused)).To(BeTrue())
@@ -81,8 +81,8 @@
 		Expect(refused.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("takes the ask back when its caller leaves", func() {
-		c, loop := hostOf(never, "a")
+	It("is withdrawn when the caller leaves", func() {
+		c, loop := startHost(neverLeaving, "a")
 		_, err := c.Acquire(context.Background(), ask())
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -94,14 +94,13 @@
 		Expect(waiting).To(BeZero())
 	})
 
-	// A parent's confirmation goes to a service copy that has shut down and is
-	// lost. The home had been cut off from the store and went on placing there
-	// for seconds after the copy had said that it leaves; the holder had read
-	// that it does.
-	It("does not use a place at a server that this host knows to leave", func() {
-		var gone atomic.Bool
-		gone.Store(true)
-		c, _ := hostOf(func(id string) bool { return id == "a" && gone.Load() }, "a", "b")
+	// A home that has lost its connection to the store places at a server for seconds after
+	// the server announced its shutdown, and the request is lost. The holder has read the
+	// announcement.
+	It("does not use a placement at a server that is known to be leaving", func() {
+		var leaving atomic.Bool
+		leaving.Store(true)
+		c, _ := startHost(func(id string) bool { return id == "a" && leaving.Load() }, "a", "b")
 		place, err := c.Acquire(context.Background(), ask())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(place.Server).To(Equal("b"))
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -8,8 +8,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// encodeAsk turns an ask into its message. Clocks of hosts differ, so moments
-// travel as durations from the time of sending.
+// encodeAsk encodes a placement request. Clocks of hosts differ, so points in time are sent
+// as durations relative to the time of sending.
 func encodeAsk(now time.Time, id uint64, a *Ask) *wire.Ask {
 	m := &wire.Ask{
 		Id: id, Service: a.Service, Account: a.Account, Priority: uint32(a.Priority),
@@ -67,7 +67,7 @@
 func encodeRunning(now time.Time, id uint64, p *pending) *wire.Running {
 	return &wire.Running{
 		Id: id, Service: p.ask.Service, Server: p.server, PromptTokens: uint32(p.ask.PromptTokens),
-		OutputTokens: uint32(p.ask.OutputTokens), ElapsedMs: millis(now.Sub(p.placed)), PauseMs: millis(p.ask.MaxPause),
+		OutputTokens: uint32(p.ask.OutputTokens), ElapsedMs: millis(now.Sub(p.placedAt)), PauseMs: millis(p.ask.MaxPause),
 		Account: p.ask.Account, Fingerprint: p.ask.Fingerprint.Bytes(), Repeatable: p.ask.Repeatable,
 	}
 }
@@ -96,7 +96,7 @@
 	return out
 }
 
-// addDecision puts a decision into the message for its holder.
+// addDecision adds a decision to the message for its holder.
 func addDecision(m *wire.ToHolder, d sched.Decision) {
 	if d.Reason != 0 {
 		m.Refusals = append(m.Refusals, &wire.Refusal{
--- a/internal/dispatch/follower.go
+++ b/internal/dispatch/follower.go
@@ -9,45 +9,46 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Follower keeps the client at the right home: the one that the member list
-// names while it answers, this host's own loop otherwise.
+// Follower connects the client to the home that the member ranking names while that answers,
+// and to the local loop otherwise. It also sets the local loop's share of servers and quotas.
 type Follower struct {
 	client   *Client
 	members  *member.Table
 	sessions Sessions
 	events   *event.Recorder
-	// listed is how many hosts others or the store tell of, 0 when it is not known.
-	listed func() int
-	// leads tells the home's side of this host that it schedules for all, followers counts
-	// the hosts that follow it.
-	leads     func(bool)
-	followers func() int
-	started   time.Time
-	distrust  distrust
-	hosts     int // that the share of a host alone was worked out for, 0: not known then
-	// leadsSince is when this host began to lead, zero: it does not; partial is set while
-	// it does so with a part of the quotas.
-	leadsSince time.Time
-	partial    bool
-	// setShare is told which part of all servers and quotas the loop of this
-	// host has: all as the home, less when it decides for itself.
+	// listedHosts returns the number of hosts that other hosts or the store report, 0 if
+	// unknown.
+	listedHosts func() int
+	// setLeading tells the Home of this host whether it schedules for all hosts; followers
+	// counts the hosts that are linked to it.
+	setLeading      func(bool)
+	followers       func() int
+	started         time.Time
+	lostHomes       lostHomes
+	standaloneHosts int // number of hosts for which the standalone share was computed, 0: not known then
+	// leadsSince is when this host began to lead, zero: it does not lead. partialQuotas is
+	// set while it leads with less than the full quotas.
+	leadsSince    time.Time
+	partialQuotas bool
+	// setShare sets the local loop's share of all servers, quotas and rate limits: all of
+	// them on the home, less on a host that schedules only for itself.
 	setShare func(sched.Share)
 }
 
-// NewFollower makes the duty; Run starts it.
-func NewFollower(c *Client, m *member.Table, s Sessions, h *Home, events *event.Recorder, listed func() int, setShare func(sched.Share)) *Follower {
+// NewFollower creates a Follower; Run starts it.
+func NewFollower(c *Client, m *member.Table, s Sessions, h *Home, events *event.Recorder, listedHosts func() int, setShare func(sched.Share)) *Follower {
 	return &Follower{
 		client: c, members: m, sessions: s, events: events,
-		listed: listed, leads: h.Lead, followers: h.Followers, setShare: setShare, started: time.Now(),
+		listedHosts: listedHosts, setLeading: h.Lead, followers: h.Followers, setShare: setShare, started: time.Now(),
 	}
 }
 
-// Run follows homes until ctx ends.
+// Run follows the current home until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	changed := f.members.Subscribe()
 	var link *homeLink
 	var home member.Member
-	period := startPeriod
+	period := startupPeriod
 	timer := time.NewTicker(period)
 	defer timer.Stop()
 	for {
@@ -55,27 +56,27 @@
 			period = p
 			timer.Reset(period)
 		}
-		want, ok := f.want(time.Now())
+		desiredHome, ok := f.desiredHome(time.Now())
 		switch {
-		case ok && want.Incarnation == f.client.self:
+		case ok && desiredHome.Incarnation == f.client.self:
 			f.drop(link)
-			link, home = nil, want
-			f.lead(want.Incarnation != f.first())
-		case link != nil && (!ok || want.Incarnation != home.Incarnation || link.broken()):
+			link, home = nil, desiredHome
+			f.lead(desiredHome.Incarnation != f.rankedHome())
+		case link != nil && (!ok || desiredHome.Incarnation != home.Incarnation || link.broken()):
 			f.drop(link)
 			link = nil
-			f.alone()
+			f.goStandalone()
 		}
-		if link == nil && ok && want.Incarnation != f.client.self {
-			f.alone()
-			link = f.dial(ctx, want)
-			home = want
-			if link == nil && ctx.Err() == nil && time.Since(f.started) > lonelyTime {
-				f.distrust.add(time.Now(), want.Incarnation)
+		if link == nil && ok && desiredHome.Incarnation != f.client.self {
+			f.goStandalone()
+			link = f.dial(ctx, desiredHome)
+			home = desiredHome
+			if link == nil && ctx.Err() == nil && time.Since(f.started) > discoveryTimeout {
+				f.lostHomes.add(time.Now(), desiredHome.Incarnation)
 			}
 		}
 		if link != nil {
-			f.keepShare()
+			f.refreshStandaloneShare()
 		}
 		select {
 		case <-changed:
@@ -88,11 +89,11 @@
 	}
 }
 
-// period is how often Run looks at the ranking and the share: more often while both may
-// change at any moment.
+// period returns the interval at which Run checks the ranking and the share. It is shorter
+// while both are likely to change.
 func (f *Follower) period() time.Duration {
-	if time.Since(f.started) < lonelyTime || f.partial || f.distrust.any(time.Now()) {
-		return startPeriod
+	if time.Since(f.started) < discoveryTimeout || f.partialQuotas || f.lostHomes.any(time.Now()) {
+		return startupPeriod
 	}
 	return redialPeriod
 }
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	linkOutputs  = 1024
-	writeTimeout = 500 * time.Millisecond
+	linkQueueSize = 1024
+	writeTimeout  = 500 * time.Millisecond
 )
 
-// Home is the scheduling side of the links: it feeds what holders say to the
-// loop and sends them the decisions. mu guards links.
+// Home is the scheduling side of the links: it passes messages of holders (the entry hosts
+// that received the requests) to the loop and sends them the decisions. mu guards links.
 type Home struct {
 	loop  *Loop
-	leads atomic.Bool // this host schedules for all that follow it
-	// next names the hosts that may take over.
-	next  func() []uint64
-	mu    sync.Mutex
-	links map[uint64]*holderLink // by incarnation of the holder
+	leads atomic.Bool // this host schedules for all hosts that follow it
+	// nextHomes lists the hosts that take over if this one is lost, by incarnation.
+	nextHomes func() []uint64
+	mu        sync.Mutex
+	links     map[uint64]*holderLink // by incarnation of the holder
 }
 
 // holderLink is the home's end of one holder's stream.
@@ -39,9 +39,10 @@
 	superseded atomic.Bool
 }
 
-// NewHome makes the scheduling side over a loop; next names the hosts that may take over.
-func NewHome(loop *Loop, next func() []uint64) *Home {
-	return &Home{loop: loop, next: next, links: map[uint64]*holderLink{}}
+// NewHome creates a Home for a loop. nextHomes lists the hosts that take over if this one is
+// lost, by incarnation.
+func NewHome(loop *Loop, nextHomes func() []uint64) *Home {
+	return &Home{loop: loop, nextHomes: nextHomes, links: map[uint64]*holderLink{}}
 }
 
 // Serve handles the stream of one holder until it breaks. The stream's service
@@ -49,11 +50,11 @@
 func (h *Home) Serve(ctx context.Context, st *peer.Stream) {
 	l := &holderLink{
 		holder: uint64(st.Peer.Incarnation), zone: st.Open.Service,
-		out: ring.New[*wire.ToHolder](linkOutputs), stream: st,
+		out: ring.New[*wire.ToHolder](linkQueueSize), stream: st,
 	}
 	h.attach(l)
-	h.tellAllSuspects(l)
-	h.tellAllRollouts(l)
+	h.sendAllSuspects(l)
+	h.sendAllRollouts(l)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var writer sync.WaitGroup
@@ -65,7 +66,7 @@
 		if wire.Read(st.R, m) != nil {
 			break
 		}
-		h.take(ctx, l, m)
+		h.handle(ctx, l, m)
 	}
 	cancel()
 	st.Abort()
@@ -73,8 +74,8 @@
 	h.detach(l)
 }
 
-// Lead tells whether this host schedules for all that follow it. Those that have a link
-// here hear at once when it begins to.
+// Lead sets whether this host schedules for all hosts that follow it. Linked hosts are
+// notified at once when it begins to.
 func (h *Home) Lead(leads bool) {
 	if h.leads.Swap(leads) == leads || !leads {
 		return
@@ -83,22 +84,22 @@
 	defer h.mu.Unlock()
 	for _, l := range h.links {
 		l.send(&wire.ToHolder{Leads: true})
-		go h.tellAllSuspects(l)
-		go h.tellAllRollouts(l)
+		go h.sendAllSuspects(l)
+		go h.sendAllRollouts(l)
 	}
 }
 
-// Leads reports whether this host schedules for all that follow it.
+// Leads reports whether this host schedules for all hosts that follow it.
 func (h *Home) Leads() bool { return h.leads.Load() }
 
-// teachPeriod is how often hosts that may take over hear what the home has learned. With
-// 630 servers it is 7 KB a second for each.
-const teachPeriod = 2 * time.Second
+// estimatesPeriod is how often the home sends its estimates of server speeds to the hosts
+// that may take over. With 630 servers this is 7 KB a second for each host.
+const estimatesPeriod = 2 * time.Second
 
-// TeachNext tells the hosts that may take over what this one has learned of servers, while
-// it leads and until ctx ends.
+// TeachNext sends the estimates of server speeds to the hosts that may take over, while this
+// host leads and until ctx ends.
 func (h *Home) TeachNext(ctx context.Context) {
-	tick := time.NewTicker(teachPeriod)
+	tick := time.NewTicker(estimatesPeriod)
 	defer tick.Stop()
 	for {
 		select {
@@ -109,11 +110,11 @@
 		if !h.leads.Load() {
 			continue
 		}
-		h.loop.Do(func(_ sched.Time, s *sched.Scheduler) { h.teach(h.next(), s.Learned()) })
+		h.loop.Do(func(_ sched.Time, s *sched.Scheduler) { h.sendEstimates(h.nextHomes(), s.Learned()) })
 	}
 }
 
-func (h *Home) teach(holders []uint64, learned []sched.Learned) {
+func (h *Home) sendEstimates(holders []uint64, learned []sched.Learned) {
 	if len(learned) == 0 {
 		return
 	}
@@ -126,20 +127,19 @@
 	}
 }
 
-// Followers counts the hosts that have a link here: they follow this host, or will when it
-// leads.
+// Followers counts the linked hosts. They follow this host, or will once it leads.
 func (h *Home) Followers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.links)
 }
 
-// attach makes l the link of its holder; an older one is cut, and what it had
-// booked is dropped as if the holder were gone.
+// attach makes l the link of its holder. An older link is aborted, and what was queued over
+// it is dropped as if the holder were gone.
 //
-// Guard: a holder tells all that waits and runs on its new link. What the home
-// still reads from the old one is older than that: a withdrawal would end an ask
-// of the new link, and its caller would wait for a word that never comes.
+// A holder reports all its waiting requests and runs over the new link. Messages still
+// unread on the old link are older and must be ignored: a withdrawal among them would end
+// a placement request of the new link, and its caller would wait for an answer forever.
 func (h *Home) attach(l *holderLink) {
 	h.mu.Lock()
 	old := h.links[l.holder]
@@ -153,6 +153,7 @@
 	old.stream.Abort()
 }
 
+// holderGone drops what a holder has queued at the loop.
 func (h *Home) holderGone(holder uint64) {
 	h.loop.push(context.Background(), func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.HolderGone(now, holder)
@@ -160,6 +161,7 @@
 	})
 }
 
+// detach removes l if it is still the current link of its holder.
 func (h *Home) detach(l *holderLink) {
 	h.mu.Lock()
 	newest := h.links[l.holder] == l
@@ -172,8 +174,8 @@
 	}
 }
 
-// take feeds one message of a holder to the loop.
-func (h *Home) take(ctx context.Context, l *holderLink, m *wire.ToHome) {
+// handle passes one message of a holder to the loop.
+func (h *Home) handle(ctx context.Context, l *holderLink, m *wire.ToHome) {
 	h.loop.push(ctx, func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		if l.superseded.Load() {
 			return nil
@@ -216,15 +218,15 @@
 	})
 }
 
-// send never blocks: a holder that does not read is cut, asks anew when it
-// comes back, and decides alone until then.
+// send never blocks. The link to a holder that does not read is aborted; the holder
+// schedules locally until it reconnects, and then submits its requests again.
 func (l *holderLink) send(m *wire.ToHolder) {
 	if !l.out.TryPush(m) {
 		l.stream.Abort()
 	}
 }
 
-// Deliver sends the decisions of one round to their holders.
+// Deliver sends the decisions of one round of the loop to their holders.
 func (h *Home) Deliver(out []sched.Decision) {
 	byHolder := map[uint64]*wire.ToHolder{}
 	for _, d := range out {
@@ -244,7 +246,7 @@
 	}
 }
 
-// writeMessages sends what the ring holds, everything that waits in one flush.
+// writeMessages writes the messages of a ring to a stream, all that are queued in one flush.
 func writeMessages[M wire.Message](ctx context.Context, st *peer.Stream, out *ring.Ring[M]) {
 	w := bufio.NewWriterSize(st, 4096)
 	var batch []M
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -18,8 +18,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// homeFor runs a home with one server that has one place.
-func homeFor() (*Home, *Loop) {
+// startHome runs a home with one server that has one slot.
+func startHome() (*Home, *Loop) {
 	events := event.NewRecorder("h", "i", 64, log.NewNopLogger())
 	var h *Home
 	loop := NewLoop(sched.DefaultPolicy(), events, func(out []sched.Decision) { h.Deliver(out) })
@@ -41,8 +41,8 @@
 	r    *bufio.Reader
 }
 
-// linkTo opens a link of one holder; every link of it bears the same incarnation.
-func linkTo(h *Home) *holderEnd {
+// openLink opens a link of a holder; all links have the same incarnation.
+func openLink(h *Home) *holderEnd {
 	near, far := net.Pipe()
 	st := &peer.Stream{Conn: far, R: bufio.NewReader(far), Peer: peer.Identity{Incarnation: self}, Open: &wire.Open{Service: "z"}}
 	go h.Serve(context.Background(), st)
@@ -50,7 +50,7 @@
 	return &holderEnd{conn: near, r: bufio.NewReader(near)}
 }
 
-func (e *holderEnd) say(m *wire.ToHome) {
+func (e *holderEnd) send(m *wire.ToHome) {
 	Expect(e.conn.SetWriteDeadline(time.Now().Add(time.Second))).To(Succeed())
 	Expect(wire.Write(e.conn, m)).To(Succeed())
 }
@@ -58,11 +58,11 @@
 func (e *holderEnd) ask(id uint64) {
 	now := time.Now()
 	a := ask()
-	e.say(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(now, id, a)}})
+	e.send(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(now, id, a)}})
 }
 
-// placed reads until the home gives an ask its place.
-func (e *holderEnd) placed(id uint64) {
+// awaitPlacement reads until the home sends the placement for a request.
+func (e *holderEnd) awaitPlacement(id uint64) {
 	Expect(e.conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
 	for {
 		m := &wire.ToHolder{}
@@ -75,50 +75,50 @@
 	}
 }
 
-func booked(l *Loop) (running, waiting int) {
+func countRequests(l *Loop) (running, waiting int) {
 	l.Query(context.Background(), func(s *sched.Scheduler) { running, waiting = s.Running(), s.Waiting() })
 	return running, waiting
 }
 
-var _ = Describe("a holder that comes back over a new link", func() {
-	// The home stands still for a moment. Its holders take it for silent, open a
-	// new link and ask again for what waits; the home wakes and finds the same ask
-	// twice, once on each link. Counted twice, the server would lose a place for
-	// good: callers are refused while servers are free.
-	It("is asked for once what it asked for on both links", func() {
-		h, loop := homeFor()
-		first := linkTo(h)
+var _ = Describe("a holder that reconnects over a new link", func() {
+	// The home pauses. Its holders consider it unresponsive, open new links and submit
+	// waiting requests again, and the home then reads the same request from both links. If
+	// it counted the request twice, the server would lose a slot forever, and callers would
+	// be refused while servers are idle.
+	It("has a request that it sent over both links counted once", func() {
+		h, loop := startHome()
+		first := openLink(h)
 		first.ask(1)
-		Eventually(func() int { n, _ := booked(loop); return n }).Should(Equal(1))
-		second := linkTo(h) // the place of the first link was lost with it
+		Eventually(func() int { n, _ := countRequests(loop); return n }).Should(Equal(1))
+		second := openLink(h) // the placement sent over the first link was lost with it
 		second.ask(1)
-		second.placed(1)
-		Expect(booked(loop)).To(Equal(1))
-		second.say(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: 1, Result: uint32(sched.OK)}}})
+		second.awaitPlacement(1)
+		Expect(countRequests(loop)).To(Equal(1))
+		second.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: 1, Result: uint32(sched.OK)}}})
 		second.ask(2)
-		second.placed(2)
+		second.awaitPlacement(2)
 	})
 
-	// The same, but the first link still holds a withdrawal that the home reads
-	// after the new link's ask: the request would wait for a word that never comes.
-	It("is not heard any more over the old one", func() {
-		h, loop := homeFor()
-		other := linkTo(h)
+	// As above, but the home reads a withdrawal from the first link after the request from
+	// the new one. If it were applied, the request would wait for an answer forever.
+	It("has messages on the old link ignored", func() {
+		h, loop := startHome()
+		other := openLink(h)
 		other.ask(1)
-		Eventually(func() int { n, _ := booked(loop); return n }).Should(Equal(1))
+		Eventually(func() int { n, _ := countRequests(loop); return n }).Should(Equal(1))
 		var old *holderLink
 		h.mu.Lock()
 		old = h.links[self]
 		h.mu.Unlock()
-		second := linkTo(h)
+		second := openLink(h)
 		second.ask(1)
-		second.placed(1)
-		h.take(context.Background(), old, &wire.ToHome{Withdrawn: []uint64{1}, Asks: []*wire.Ask{encodeAsk(time.Now(), 1, ask())}})
-		Consistently(func() []int { r, w := booked(loop); return []int{r, w} }).WithTimeout(50 * time.Millisecond).Should(Equal([]int{1, 0}))
+		second.awaitPlacement(1)
+		h.handle(context.Background(), old, &wire.ToHome{Withdrawn: []uint64{1}, Asks: []*wire.Ask{encodeAsk(time.Now(), 1, ask())}})
+		Consistently(func() []int { r, w := countRequests(loop); return []int{r, w} }).WithTimeout(50 * time.Millisecond).Should(Equal([]int{1, 0}))
 	})
 })
 
-// pausedHome is a home whose answers come only when the test sends them.
+// pausedHome is a home that answers only when the test makes it answer.
 type pausedHome struct {
 	client *Client
 	loop   *Loop
@@ -128,17 +128,17 @@
 }
 
 func newPausedHome() *pausedHome {
-	c, loop := hostOf(never) // without servers: what is asked for here waits or is refused here
+	c, loop := startHost(neverLeaving) // without servers: local requests wait or are refused
 	near, far := net.Pipe()
 	DeferCleanup(near.Close)
-	l := &homeLink{host: "home", stream: &peer.Stream{Conn: far}, out: ring.New[*wire.ToHome](linkOutputs), ended: make(chan struct{})}
+	l := &homeLink{host: "home", stream: &peer.Stream{Conn: far}, out: ring.New[*wire.ToHome](linkQueueSize), ended: make(chan struct{})}
 	c.follow(l)
 	return &pausedHome{client: c, loop: loop, link: l, watch: newLinkWatch(c, l), clock: time.Now()}
 }
 
-// pass lets time go by in the steps of the watch and returns the states that its
-// link enters meanwhile.
-func (p *pausedHome) pass(d time.Duration) (entered []chart.State) {
+// advance moves the clock forward in steps of watchPeriod and returns the states that the link
+// enters.
+func (p *pausedHome) advance(d time.Duration) (entered []chart.State) {
 	for end := p.clock.Add(d); p.clock.Before(end) && p.watch.state() != linkLost; {
 		p.clock = p.clock.Add(watchPeriod)
 		if p.watch.check(p.clock) {
@@ -152,7 +152,7 @@
 func (p *pausedHome) apply(s chart.State) {
 	switch s {
 	case linkSuspect:
-		p.client.suspect(p.link)
+		p.client.markSuspect(p.link)
 	case linkAnswering:
 		p.client.follow(p.link)
 	case linkLost:
@@ -160,17 +160,17 @@
 	}
 }
 
-// waitAt makes an ask wait in the queue of the home.
-func (p *pausedHome) waitAt() uint64 {
+// addWaiting makes a placement request wait in the home's queue.
+func (p *pausedHome) addWaiting() uint64 {
 	a := ask()
 	a.Deadline = a.Arrived.Add(time.Minute)
-	go func() { _, _ = p.client.Acquire(context.Background(), a) }() // ends with the test's process
+	go func() { _, _ = p.client.Acquire(context.Background(), a) }() // ends with the test process
 	Eventually(func() bool { return p.client.waitsAt(p.link) }).Should(BeTrue())
-	p.client.queued([]uint64{1}, p.link)
+	p.client.markQueued([]uint64{1}, p.link)
 	return 1
 }
 
-func (p *pausedHome) answerPing() { p.link.ponged.Store(p.watch.ping) }
+func (p *pausedHome) answerPing() { p.link.lastPong.Store(p.watch.ping) }
 
 func (p *pausedHome) via(id uint64) *homeLink {
 	p.client.mu.Lock()
@@ -178,81 +178,81 @@
 	return p.client.pending[id].via
 }
 
-var _ = Describe("a home that stands still", func() {
-	// The home's processor stands still for a third of a second under load. Were
-	// all that waits there asked for anew on each host, their own loops would put
-	// it into engines that are full, and callers would see seconds of late answers.
-	It("keeps what waits in its queue when it is back within a moment", func() {
+var _ = Describe("a paused home", func() {
+	// The home's CPU pauses for a third of a second under load. If each host submitted the
+	// requests that wait there to its local loop, the loops would send them to engines that
+	// are full, and callers would get late answers for seconds.
+	It("keeps its queue if it answers again soon", func() {
 		h := newPausedHome()
-		id := h.waitAt()
-		h.pass(pingPeriod)
-		Expect(h.pass(silentAfter + 2*watchPeriod)).To(Equal([]chart.State{linkSuspect}))
-		Expect(h.client.link).To(BeNil(), "new asks are decided here")
+		id := h.addWaiting()
+		h.advance(pingPeriod)
+		Expect(h.advance(pingTimeout + 2*watchPeriod)).To(Equal([]chart.State{linkSuspect}))
+		Expect(h.client.link).To(BeNil(), "new requests go to the local loop")
 		Expect(h.via(id)).To(Equal(h.link))
 		h.answerPing()
-		Expect(h.pass(watchPeriod)).To(Equal([]chart.State{linkAnswering}))
+		Expect(h.advance(watchPeriod)).To(Equal([]chart.State{linkAnswering}))
 		Expect(h.client.link).To(Equal(h.link))
 		Expect(h.via(id)).To(Equal(h.link))
 	})
 
-	It("loses it when the silence lasts", func() {
+	It("loses its queue if it does not answer for longer", func() {
 		h := newPausedHome()
-		id := h.waitAt()
-		Expect(h.pass(pingPeriod + silentAfter + suspectTime + 4*watchPeriod)).To(Equal([]chart.State{linkSuspect, linkLost}))
+		id := h.addWaiting()
+		Expect(h.advance(pingPeriod + pingTimeout + suspectTimeout + 4*watchPeriod)).To(Equal([]chart.State{linkSuspect, linkLost}))
 		Expect(h.via(id)).To(BeNil())
 	})
 })
 
-// metered is an ask that costs its account units.
-func metered() *Ask {
+// meteredAsk is a placement request that costs its account units.
+func meteredAsk() *Ask {
 	a := ask()
 	a.Account, a.Units = "acc", 300
 	return a
 }
 
-// placeAlone gets a place from a host's own loop.
-func placeAlone() (*Client, Place) {
-	c, loop := hostOf(never, "a")
+// placeLocally gets a placement from a host's local loop.
+func placeLocally() (*Client, Place) {
+	c, loop := startHost(neverLeaving, "a")
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetAccounts(now, []sched.Account{{Name: "acc", Rate: 1000, Burst: 1000}})
 	})
-	place, err := c.Acquire(context.Background(), metered())
+	place, err := c.Acquire(context.Background(), meteredAsk())
 	Expect(err).NotTo(HaveOccurred())
 	return c, place
 }
 
-var _ = Describe("what a host gives out while its home is silent", func() {
-	// An account runs a twentieth more than its quota on a calm day. The home was slow:
-	// hosts took it for silent again and again and gave out their parts of the quota,
-	// while it went on giving out the whole.
+var _ = Describe("a local placement while the home does not answer", func() {
+	// A slow home is repeatedly considered unresponsive. Each time the hosts use their shares
+	// of a quota while the home uses the whole, and the account exceeds its quota by a
+	// twentieth.
 	It("is charged to the account when the host follows a home again", func() {
-		c, place := placeAlone()
+		c, place := placeLocally()
 		c.Finish(place.ID, sched.OK, time.Millisecond, 0)
 		l := &homeLink{out: ring.New[*wire.ToHome](8)}
-		c.tellCharges(l)
+		c.sendCharges(l)
 		Expect(l.out.Drain(nil)).To(BeEmpty(), "no home is followed yet")
 		c.follow(l)
-		c.tellCharges(l)
-		c.tellCharges(l)
+		c.sendCharges(l)
+		c.sendCharges(l)
 		told := l.out.Drain(nil)
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].Charges).To(ConsistOf(And(HaveField("Account", "acc"), HaveField("Units", int64(300)))))
 	})
 
-	It("is not charged when it did not run", func() {
-		c, place := placeAlone()
+	It("is not charged if the request did not run", func() {
+		c, place := placeLocally()
 		c.Finish(place.ID, sched.Rejected, 0, 0)
 		Expect(c.charges["acc"]).To(BeZero())
 	})
 
-	It("is paid back at the home", func() {
-		h, loop := homeFor()
+	It("reduces the quota left at the home", func() {
+		h, loop := startHome()
 		loop.Do(func(now sched.Time, s *sched.Scheduler) {
 			s.SetAccounts(now, []sched.Account{{Name: "acc", Rate: 1, Burst: 1000}})
 		})
-		e := linkTo(h)
-		e.say(&wire.ToHome{Charges: []*wire.Charge{{Account: "acc", Units: 700}}})
-		e.say(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(time.Now(), 1, metered())}})
+		e := openLink(h)
+		e.send(&wire.ToHome{Charges: []*wire.Charge{{Account: "acc", Units: 700}}})
+		e.send(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(time.Now(), 1, meteredAsk())}})
 		m := &wire.ToHolder{}
 		Expect(e.conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
 		Expect(wire.Read(e.r, m)).To(Succeed())
@@ -261,23 +261,23 @@
 })
 
 var _ = Describe("a host that takes over from a lost home", func() {
-	// In the seconds after the home was lost long prompts went to engines three times
-	// slower than others: the new home knew none of them.
-	It("knows the speeds that the home had learned", func() {
-		h, loop := homeFor()
+	// A new home without estimates of server speeds sends long prompts to engines that are
+	// three times slower than others for some seconds.
+	It("knows the old home's estimates of server speeds", func() {
+		h, loop := startHome()
 		loop.Do(func(now sched.Time, s *sched.Scheduler) {
 			s.Teach([]sched.Learned{{Server: "a", TokenTime: 11 * time.Millisecond}})
 		})
-		e := linkTo(h)
-		e.say(&wire.ToHome{Ping: 1})
+		e := openLink(h)
+		e.send(&wire.ToHome{Ping: 1})
 		m := &wire.ToHolder{}
 		Expect(e.conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
 		Expect(wire.Read(e.r, m)).To(Succeed())
-		loop.Do(func(_ sched.Time, s *sched.Scheduler) { h.teach([]uint64{self}, s.Learned()) })
+		loop.Do(func(_ sched.Time, s *sched.Scheduler) { h.sendEstimates([]uint64{self}, s.Learned()) })
 		Expect(wire.Read(e.r, m)).To(Succeed())
 
-		c, next := hostOf(never, "a")
-		c.taught(m.Paces)
+		c, next := startHost(neverLeaving, "a")
+		c.learnEstimates(m.Paces)
 		var learned []sched.Learned
 		next.Query(context.Background(), func(s *sched.Scheduler) { learned = s.Learned() })
 		Expect(learned).To(ConsistOf(sched.Learned{Server: "a", TokenTime: 11 * time.Millisecond}))
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -17,27 +17,27 @@
 
 // homeLink is a holder's stream to its home.
 type homeLink struct {
-	host   string
-	inc    ident.Incarnation
-	stream *peer.Stream
-	out    *ring.Ring[*wire.ToHome]
-	ponged atomic.Uint32 // newest ping that was answered
-	opened time.Time
-	heard  atomic.Int64  // when anything came last, nanoseconds since opened
-	led    atomic.Bool   // its newest answer said that it schedules for all
-	ended  chan struct{} // closed when the stream has broken
+	host         string
+	incarnation  ident.Incarnation
+	stream       *peer.Stream
+	out          *ring.Ring[*wire.ToHome]
+	lastPong     atomic.Uint32 // number of the newest ping that was answered
+	openedAt     time.Time
+	lastReceived atomic.Int64  // time of the last message, in nanoseconds since openedAt
+	leading      atomic.Bool   // the home's last message about it said that it schedules for all hosts
+	ended        chan struct{} // closed when the stream has ended
 }
 
 func (l *homeLink) push(m *wire.ToHome) bool { return l.out.TryPush(m) }
 
 func (l *homeLink) ask(m *wire.Ask) bool { return l.push(&wire.ToHome{Asks: []*wire.Ask{m}}) }
 
-func (l *homeLink) running(m *wire.Running) bool {
+func (l *homeLink) sendRunning(m *wire.Running) bool {
 	return l.push(&wire.ToHome{Running: []*wire.Running{m}})
 }
 
-// finish and withdraw are lost when the ring is full; the link is cut then, and
-// the home ends the holder's runs by itself.
+// finish and withdraw abort the link if the ring is full, since their message is lost; the
+// home then ends the holder's runs by itself.
 func (l *homeLink) finish(o sched.Outcome) {
 	if !l.push(&wire.ToHome{Outcomes: []*wire.Outcome{encodeOutcome(o)}}) {
 		l.stream.Abort()
@@ -56,6 +56,7 @@
 	Discard(address string)
 }
 
+// ended returns the channel that closes when l has ended, nil if l is nil.
 func ended(l *homeLink) <-chan struct{} {
 	if l == nil {
 		return nil
@@ -79,63 +80,64 @@
 	}
 }
 
-// dial opens the link to a home and follows it once it has answered a ping: a
-// connection that opens says little about a host that is frozen.
+// dial opens a link to a home. The home is followed only once it has answered a ping, since a
+// connection can also be opened to a frozen host.
 func (f *Follower) dial(ctx context.Context, home member.Member) *homeLink {
-	ctx2, cancel := context.WithTimeout(ctx, redialPeriod)
+	dialCtx, cancel := context.WithTimeout(ctx, redialPeriod)
 	defer cancel()
-	st, err := f.sessions.OpenStream(ctx2, peer.Target{Address: home.ControlAddress, Incarnation: home.Incarnation},
+	st, err := f.sessions.OpenStream(dialCtx, peer.Target{Address: home.ControlAddress, Incarnation: home.Incarnation},
 		wire.StreamKind_STREAM_SCHEDULE, f.client.zone)
 	if err != nil {
 		return nil
 	}
 	l := &homeLink{
-		host: home.Host, inc: home.Incarnation, stream: st, opened: time.Now(), out: ring.New[*wire.ToHome](linkOutputs), ended: make(chan struct{}),
+		host: home.Host, incarnation: home.Incarnation, stream: st, openedAt: time.Now(), out: ring.New[*wire.ToHome](linkQueueSize), ended: make(chan struct{}),
 	}
-	run, stop := context.WithCancel(ctx)
-	var duties sync.WaitGroup
-	duties.Go(func() { writeMessages(run, st, l.out) })
-	duties.Go(func() { f.watch(run, l, home.ControlAddress) })
+	linkCtx, stop := context.WithCancel(ctx)
+	var workers sync.WaitGroup
+	workers.Go(func() { writeMessages(linkCtx, st, l.out) })
+	workers.Go(func() { f.watch(linkCtx, l, home.ControlAddress) })
 	go func() {
 		f.read(l)
 		f.client.unfollow(l)
 		stop()
 		st.Abort()
-		duties.Wait()
+		workers.Wait()
 		close(l.ended)
 	}()
 	return l
 }
 
-// read takes what the home says until the stream breaks.
+// read handles messages of the home until the stream ends.
 func (f *Follower) read(l *homeLink) {
 	for {
 		m := &wire.ToHolder{}
 		if wire.Read(l.stream.R, m) != nil {
 			return
 		}
-		l.heard.Store(int64(time.Since(l.opened)))
+		l.lastReceived.Store(int64(time.Since(l.openedAt)))
 		if m.Pong != 0 {
-			l.ponged.Store(m.Pong)
+			l.lastPong.Store(m.Pong)
 		}
 		if m.Pong != 0 || m.Leads {
-			f.answered(l, m.Leads)
+			f.updateLeading(l, m.Leads)
 		}
-		f.client.taught(m.Paces)
+		f.client.learnEstimates(m.Paces)
 		f.client.learnSuspects(m.Suspects)
 		f.client.learnRollouts(m.Rollouts)
-		f.client.queued(m.Queued, l)
+		f.client.markQueued(m.Queued, l)
 		f.client.deliver(decisions(uint64(f.client.self), m), l)
 	}
 }
 
-// answered takes what the home says of itself with an answer.
+// updateLeading follows or unfollows a home by whether it reports that it schedules for all
+// hosts.
 //
-// Guard: two hosts may rank differently for a moment, and one that takes over from a lost
-// home does so when it has noticed itself. Asked before it schedules for all it has a
-// small part of the servers, and what waits there would wait in vain.
-func (f *Follower) answered(l *homeLink, leads bool) {
-	if l.led.Swap(leads) == leads {
+// Two hosts may briefly disagree on the ranking, and a host takes over from a lost home only
+// after it has noticed the loss itself. Before that its loop has a small share of the
+// servers, and placement requests sent to it would wait in vain.
+func (f *Follower) updateLeading(l *homeLink, leads bool) {
+	if l.leading.Swap(leads) == leads {
 		return
 	}
 	if !leads {
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,10 +1,10 @@
-// Package dispatch brings requests to the scheduler and its decisions back.
+// Package dispatch carries placement requests to the scheduler and its decisions back.
 //
-// Each host runs one loop that owns a sched.Scheduler. The loop of the home
-// schedules for all hosts; the loop of any other host is idle until its home
-// falls silent, and then decides for this host alone with a share of every
-// server, quota and retry budget. Client is the side that asks: it follows the
-// home and falls back within a fraction of the shortest latency objective.
+// Each host runs one loop that owns a sched.Scheduler. The home is the host whose loop
+// schedules for all hosts. The loop of any other host is idle until the home stops
+// answering, and then schedules for its own host only, with a share of every server, quota
+// and retry budget. Client is the requesting side: it follows the home and falls back to the
+// local loop within a fraction of the shortest latency target.
 package dispatch
 
 import (
@@ -19,50 +19,50 @@
 )
 
 const (
-	loopInputs = 8192
-	// busyTick is how often waiting requests are looked at again for time
-	// that has run out and quotas that have refilled.
+	loopQueueSize = 8192
+	// busyTick is how often waiting requests are checked for expired deadlines, caller
+	// timeouts and refilled quotas.
 	busyTick = 10 * time.Millisecond
 	idleTick = 250 * time.Millisecond
 )
 
-// input is one thing for the loop to do.
+// input is a function that the loop runs on its scheduler.
 type input func(now sched.Time, s *sched.Scheduler) []sched.Decision
 
-// Loop owns a scheduler. Its goroutine alone touches it; all others push
-// inputs.
+// Loop owns a scheduler. Only the loop's goroutine accesses it; other goroutines push inputs.
 type Loop struct {
 	in          *ring.Ring[input]
 	start       time.Time
 	sched       *sched.Scheduler
 	deliver     func([]sched.Decision)
 	events      *event.Recorder
-	spread      Spread
-	stepped     func([]rollout.Standing)
-	quarantined map[quarantine.Fingerprint]bool // those whose quarantine was logged
+	onSuspects  SuspectsFunc
+	onRollouts  func([]rollout.Standing)
+	quarantined map[quarantine.Fingerprint]bool // requests whose quarantine was logged
 }
 
-// NewLoop makes a loop. deliver gets the decisions of each round, on the
-// loop's goroutine; it must not block.
+// NewLoop creates a loop. deliver is called on the loop's goroutine with the decisions of
+// each round; it must not block.
 func NewLoop(p sched.Policy, events *event.Recorder, deliver func([]sched.Decision)) *Loop {
 	return &Loop{
-		in: ring.New[input](loopInputs), start: time.Now(),
+		in: ring.New[input](loopQueueSize), start: time.Now(),
 		sched: sched.New(p), deliver: deliver, events: events,
-		stepped: func([]rollout.Standing) {},
-		spread:  func([]quarantine.Record, func(quarantine.Fingerprint) bool) {}, quarantined: map[quarantine.Fingerprint]bool{},
+		onRollouts: func([]rollout.Standing) {},
+		onSuspects: func([]quarantine.Record, func(quarantine.Fingerprint) bool) {}, quarantined: map[quarantine.Fingerprint]bool{},
 	}
 }
 
-// Spread gets what has changed of requests that end servers, on the loop's goroutine; lifted
-// tells which have come out of quarantine with it. It must not block.
-type Spread func(news []quarantine.Record, lifted func(quarantine.Fingerprint) bool)
+// SuspectsFunc is called on the loop's goroutine with the changed records of suspect requests,
+// under which servers ended; lifted reports which of them have left quarantine with the
+// change. It must not block.
+type SuspectsFunc func(changes []quarantine.Record, lifted func(quarantine.Fingerprint) bool)
 
-// OnSuspects sets who gets what has changed of requests that end servers. It comes before
-// Run.
-func (l *Loop) OnSuspects(spread Spread) { l.spread = spread }
+// OnSuspects sets the function that receives changes of suspect requests. It must be called
+// before Run.
+func (l *Loop) OnSuspects(onSuspects SuspectsFunc) { l.onSuspects = onSuspects }
 
-// push hands an input to the loop. When the ring is full the caller waits:
-// dropping one would leave a request without its decision.
+// push passes an input to the loop. It blocks while the ring is full, since dropping an input
+// would leave a request without a decision.
 func (l *Loop) push(ctx context.Context, in input) {
 	if l.in.TryPush(in) {
 		return
@@ -71,11 +71,11 @@
 	_ = l.in.Push(ctx, in) // fails only when ctx ends, and with it the request
 }
 
-// Run decides until ctx ends.
+// Run runs the scheduler until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	tick := time.NewTimer(idleTick)
 	defer tick.Stop()
-	next := idleTick // when time is to pass, on the loop's clock
+	nextTick := idleTick // on the loop's clock
 	var batch []input
 	for {
 		select {
@@ -90,31 +90,31 @@
 			out = append(out, in(l.now(), l.sched)...)
 		}
 		clear(batch)
-		if l.now() >= next {
+		if l.now() >= nextTick {
 			out = append(out, l.sched.Tick(l.now())...)
-			next = l.now() + l.period()
+			nextTick = l.now() + l.tickPeriod()
 		}
-		// Other hosts hear of a request in quarantine before its caller does.
-		if news := l.sched.SuspectNews(l.now()); len(news) > 0 {
-			lifted := l.logSuspects(news)
-			l.spread(news, func(f quarantine.Fingerprint) bool { return lifted[f] })
+		// Other hosts are notified of a quarantined request before its caller is.
+		if changes := l.sched.SuspectNews(l.now()); len(changes) > 0 {
+			lifted := l.logSuspects(changes)
+			l.onSuspects(changes, func(f quarantine.Fingerprint) bool { return lifted[f] })
 		}
 		if steps := l.sched.RolloutNews(); len(steps) > 0 {
 			l.logRollouts(steps)
-			l.stepped(steps)
+			l.onRollouts(steps)
 		}
 		if len(out) > 0 {
 			l.deliver(out)
 		}
-		// Inputs must not put the tick off, or it would never come under load.
-		next = min(next, l.now()+l.period())
-		tick.Reset(next - l.now())
+		// Inputs must not postpone the tick, or it would never come under load.
+		nextTick = min(nextTick, l.now()+l.tickPeriod())
+		tick.Reset(nextTick - l.now())
 	}
 }
 
 func (l *Loop) now() sched.Time { return time.Since(l.start) }
 
-func (l *Loop) period() time.Duration {
+func (l *Loop) tickPeriod() time.Duration {
 	if l.sched.Waiting() > 0 {
 		return busyTick
 	}
--- a/internal/dispatch/moving.go
+++ b/internal/dispatch/moving.go
@@ -6,11 +6,11 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// What waits and runs moves with the home: to another one, or to the loop of this host while
-// none answers.
+// Waiting placement requests and runs move with the home: to another home, or to the local
+// loop while no home answers.
 
-// follow makes l the home. What waits is asked for anew there, and what runs is
-// reported there.
+// follow makes l the link to the followed home. Waiting requests are submitted there again,
+// and runs are reported there.
 func (c *Client) follow(l *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,14 +18,14 @@
 		return
 	}
 	c.link = l
-	c.tellSuspects(l)
-	c.tellNotices(l, c.notices.All(time.Now()))
+	c.sendSuspects(l)
+	c.sendNotices(l, c.notices.All(time.Now()))
 	c.move(func(via *homeLink) bool { return via != l })
 }
 
-// suspect sends new asks to the loop of this host, if l is followed. What waits
-// or runs at l stays there.
-func (c *Client) suspect(l *homeLink) {
+// markSuspect sends new placement requests to the local loop, if l is followed. Requests that
+// wait or run at l stay there.
+func (c *Client) markSuspect(l *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link == l {
@@ -33,8 +33,8 @@
 	}
 }
 
-// unfollow ends a link for good: what waits or runs there moves to the home that
-// is followed now, or to the loop of this host.
+// unfollow gives up a link: requests that wait or run there move to the home that is now
+// followed, or to the local loop.
 func (c *Client) unfollow(l *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,59 +44,63 @@
 	c.move(func(via *homeLink) bool { return via == l })
 }
 
-// move takes asks and runs from where they are to the home that is followed. The
-// caller holds mu.
+// move transfers the waiting requests and runs that from selects to the followed home, or
+// to the local loop if there is none. The caller holds mu.
 func (c *Client) move(from func(via *homeLink) bool) {
 	now := time.Now()
 	for id, p := range c.pending {
 		if !from(p.via) {
 			continue
 		}
-		c.leave(id, p.via)
-		if p.placed.IsZero() {
+		c.withdrawFrom(id, p.via)
+		if p.placedAt.IsZero() {
 			c.send(id, p)
 			continue
 		}
 		p.via = c.link
-		c.report(now, id, p)
+		c.reportRun(now, id, p)
 	}
 }
 
-// leave tells the scheduler that an ask or run is not its business any more.
-func (c *Client) leave(id uint64, old *homeLink) {
+// withdrawFrom removes a waiting request or run from the scheduler behind old, or from the
+// local loop if old is nil.
+func (c *Client) withdrawFrom(id uint64, old *homeLink) {
 	if old != nil {
 		old.withdraw(id)
 		return
 	}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		return s.Withdraw(now, sched.Key{Holder: uint64(c.self), ID: id})
 	})
 }
 
-func (c *Client) report(now time.Time, id uint64, p *pending) {
+// reportRun reports a run to its home, or to the local loop if there is no home
+// or its output queue is full.
+func (c *Client) reportRun(now time.Time, id uint64, p *pending) {
 	m := encodeRunning(now, id, p)
-	if p.via != nil && p.via.running(m) {
+	if p.via != nil && p.via.sendRunning(m) {
 		return
 	}
 	p.via = nil
-	c.local(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.Adopt(at, decodeRunning(uint64(c.self), m))
 		return nil
 	})
 }
 
-// overdue takes asks that the home leaves unanswered to the loop of this host.
-// It reports whether any is open for so long that the home counts as silent.
-func (c *Client) overdue(l *homeLink, now time.Time) (silent bool) {
+// resubmitOverdue moves placement requests that the home has not answered in time to the
+// local loop. It reports whether one has been unanswered for so long that the home counts as
+// unresponsive.
+func (c *Client) resubmitOverdue(l *homeLink, now time.Time) (silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, p := range c.pending {
 		if p.via != l || p.acked {
 			continue
 		}
-		open := now.Sub(p.sent)
-		silent = silent || open > ackMost
-		if open > p.ackTimeout() {
+		elapsed := now.Sub(p.sentAt)
+		silent = silent || elapsed > maxAckTimeout
+		if elapsed > p.ackTimeout() {
 			l.withdraw(id)
 			c.sendLocal(id, p)
 		}
@@ -104,18 +108,18 @@
 	return silent
 }
 
-// ackTimeout is how long the home may take to answer the ask.
+// ackTimeout returns how long the home may take to answer the placement request.
 func (p *pending) ackTimeout() time.Duration {
-	aim := p.ask.Aim.Sub(p.ask.Arrived)
-	return min(ackMost, max(ackLeast, time.Duration(float64(aim)*ackShare)))
+	untilTarget := p.ask.Aim.Sub(p.ask.Arrived)
+	return min(maxAckTimeout, max(minAckTimeout, time.Duration(float64(untilTarget)*ackFraction)))
 }
 
-// waitsAt reports whether asks of this host wait at a home.
+// waitsAt reports whether placement requests of this host wait at a home.
 func (c *Client) waitsAt(l *homeLink) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.pending {
-		if p.via == l && p.placed.IsZero() {
+		if p.via == l && p.placedAt.IsZero() {
 			return true
 		}
 	}
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -9,67 +9,70 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// How word of servers travels: the host that gets an answer keeps what it says of its server,
-// has its own loop heed it, and tells the home what is new. A host that begins to follow a
-// home tells all that it has heard, with its age, before it asks for anything: a new home
-// knows what any host knows that may send, and the newest word counts.
+// Distribution of server notices: the host that receives an answer stores the notice that it
+// contains, applies it in its local loop, and sends it to the home if it is new. A host that
+// begins to follow a home sends all its notices, with their ages, before any placement
+// request. So a new home knows every notice that a requesting host knows; the newest notice
+// of a server applies.
 
-// Hear takes what an answer to this host says of its server.
+// Hear processes the notice of a server in an answer that this host received. It returns the
+// change, if there is one.
 func (c *Client) Hear(server string, n notice.Notice) (change notice.Change, changed bool) {
 	change, changed = c.notices.Hear(time.Now(), server, n)
 	if !changed {
 		return change, false
 	}
-	c.passOn(server)
+	c.forwardNotice(server)
 	return change, true
 }
 
-// passOn tells this host's own loop and the home what a server has said last.
+// forwardNotice sends the current notice of a server to the local loop and the home.
 //
-// Guard: two answers may be heard at once. Each told as it was heard, the older one could be
-// told last, and stand for as long as nothing else changes.
-func (c *Client) passOn(server string) {
+// It reads the current notice under mu: if two answers that arrive at the same time were
+// each forwarded as received, the older one could arrive last and stay in force until the
+// next change.
+func (c *Client) forwardNotice(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	records := []notice.Record{c.notices.Of(server).Record(server, time.Now())}
-	c.local(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.LearnNotices(at, uint64(c.self), records)
 		return nil
 	})
 	if c.link != nil {
-		c.tellNotices(c.link, records)
+		c.sendNotices(c.link, records)
 	}
 }
 
-// Heard returns what a server has said last to this host.
+// Heard returns the newest notice that this host has received from a server.
 func (c *Client) Heard(server string) notice.Standing { return c.notices.Of(server) }
 
-// tellNotices passes word of servers on to a home. The link is cut when it cannot: what this
-// host has heard binds whoever places for it.
-func (c *Client) tellNotices(l *homeLink, records []notice.Record) {
+// sendNotices sends notices to a home. It aborts the link if that fails, since whoever places
+// for this host must respect the notices that it has received.
+func (c *Client) sendNotices(l *homeLink, records []notice.Record) {
 	if len(records) > 0 && !l.push(&wire.ToHome{Notices: encodeNotices(records)}) {
 		l.stream.Abort()
 	}
 }
 
-// learnNotices takes word of servers from another host, on the goroutine of the loop.
+// learnNotices applies notices reported by another host. It runs on the loop's goroutine.
 func (l *Loop) learnNotices(now sched.Time, s *sched.Scheduler, holder uint64, records []notice.Record) {
 	for _, c := range s.LearnNotices(now, holder, records) {
 		if limit, changed := c.Limit(); changed {
-			l.events.Record(event.ServerLimit, event.Fields{Server: c.Server, Detail: limit + " as another host heard"})
+			l.events.Record(event.ServerLimit, event.Fields{Server: c.Server, Detail: limit + " reported by another host"})
 		}
 		if c.Leaves() {
-			l.events.Record(event.ServerLeaves, event.Fields{Server: c.Server, Detail: "as another host heard"})
+			l.events.Record(event.ServerLeaves, event.Fields{Server: c.Server, Detail: "reported by another host"})
 		}
 	}
 }
 
-// KeepNotices forgets what servers have said that listed has not reported for a while.
+// KeepNotices removes the notices of servers for which listed has returned false for some time.
 func (c *Client) KeepNotices(listed func(server string) bool) {
 	c.notices.Retain(time.Now(), listed)
 }
 
-// CountNotices counts what servers say of themselves to this host.
+// CountNotices counts the notices of servers that this host has received.
 func (c *Client) CountNotices() notice.Counts { return c.notices.Count(time.Now()) }
 
 func encodeNotices(records []notice.Record) []*wire.Notice {
--- a/internal/dispatch/notices_test.go
+++ b/internal/dispatch/notices_test.go
@@ -13,58 +13,59 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-func limited(perSecond float64) notice.Notice {
+func limitNotice(perSecond float64) notice.Notice {
 	return notice.Notice{Limit: notice.Limit{Named: true, PerSecond: perSecond}}
 }
 
-// limitsKnown is how many servers a loop knows to name a limit.
-func limitsKnown(l *Loop) (n int) {
+// countLimits returns the number of servers for which a loop knows a rate limit.
+func countLimits(l *Loop) (n int) {
 	l.Query(context.Background(), func(s *sched.Scheduler) { n = s.Limited() })
 	return n
 }
 
-var _ = Describe("word of servers", func() {
-	It("is heeded by the host that hears it", func() {
-		c, loop := hostOf(never, "a", "b")
-		c.Hear("a", limited(1))
-		Expect(limitsKnown(loop)).To(Equal(1))
+var _ = Describe("a server notice", func() {
+	It("is applied by the host that receives it", func() {
+		c, loop := startHost(neverLeaving, "a", "b")
+		c.Hear("a", limitNotice(1))
+		Expect(countLimits(loop)).To(Equal(1))
 		c.Hear("a", notice.Notice{})
-		Expect(limitsKnown(loop)).To(BeZero())
+		Expect(countLimits(loop)).To(BeZero())
 	})
 
-	// Guards against a limit that stands for good: of two answers heard at once the older one's
-	// word is passed on last.
-	It("is passed on as it stands then", func() {
-		c, loop := hostOf(never, "a")
-		for _, said := range []notice.Notice{limited(1), {}} {
+	// Two answers arrive at once and the older one is forwarded last. If its notice were
+	// forwarded as received, an outdated limit would stay in force.
+	It("is forwarded in its newest version", func() {
+		c, loop := startHost(neverLeaving, "a")
+		for _, said := range []notice.Notice{limitNotice(1), {}} {
 			c.notices.Hear(time.Now(), "a", said)
 		}
-		c.passOn("a") // for the second answer
-		c.passOn("a") // for the first
-		Expect(limitsKnown(loop)).To(BeZero())
+		c.forwardNotice("a") // for the second answer
+		c.forwardNotice("a") // for the first
+		Expect(countLimits(loop)).To(BeZero())
 	})
 
-	// Guards against a home that places by the limits that it has heard of itself, or not yet.
-	It("reaches a home before anything is asked of it, and whenever it is new", func() {
-		c, _ := hostOf(never, "a")
-		c.Hear("b", limited(1))
+	// Without the notices of other hosts, a home would place by the limits that it has received
+	// itself, or by none.
+	It("reaches a home before any placement request, and again when it has changed", func() {
+		c, _ := startHost(neverLeaving, "a")
+		c.Hear("b", limitNotice(1))
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { _, running := c.Pending(); return running }).Should(Equal(1))
-		l := &homeLink{out: ring.New[*wire.ToHome](linkOutputs)}
+		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
 		first := l.out.Drain(nil)[0]
-		Expect(decodeNotices(first.Notices)).To(ConsistOf(HaveField("Notice", limited(1))))
+		Expect(decodeNotices(first.Notices)).To(ConsistOf(HaveField("Notice", limitNotice(1))))
 		l.out.Drain(nil)
-		c.Hear("b", limited(1))
+		c.Hear("b", limitNotice(1))
 		Expect(l.out.Drain(nil)).To(BeEmpty())
-		c.Hear("b", limited(2))
-		Expect(decodeNotices(l.out.Drain(nil)[0].Notices)).To(ConsistOf(HaveField("Notice", limited(2))))
+		c.Hear("b", limitNotice(2))
+		Expect(decodeNotices(l.out.Drain(nil)[0].Notices)).To(ConsistOf(HaveField("Notice", limitNotice(2))))
 	})
 
-	// Guards against a place at a server that has told this host, and not the home, that it leaves.
-	It("has a place at a server that leaves given back", func() {
-		c, _ := hostOf(never, "a")
-		l := &homeLink{out: ring.New[*wire.ToHome](linkOutputs)}
+	// A server has announced its shutdown to this host, but not to the home, which places there.
+	It("makes the host return a placement at a leaving server", func() {
+		c, _ := startHost(neverLeaving, "a")
+		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
@@ -76,11 +77,11 @@
 		Expect(said[1].Asks).To(HaveLen(1))
 	})
 
-	// Guards against a place at a server that has asked this host for rest, and which the home
-	// gave before it heard of that.
-	It("has a place at a server that wants rest given back, when the home has been told", func() {
-		c, _ := hostOf(never, "a")
-		l := &homeLink{out: ring.New[*wire.ToHome](linkOutputs)}
+	// The home places at a server before it learns that the server has asked this host for a
+	// backoff.
+	It("makes the host return a placement during a backoff, after notifying the home", func() {
+		c, _ := startHost(neverLeaving, "a")
+		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
@@ -94,16 +95,16 @@
 		Expect(said[2].Asks).To(HaveLen(1))
 	})
 
-	It("binds what a home gives to others", func() {
-		h, loop := homeFor()
-		one := linkTo(h)
-		one.say(&wire.ToHome{Notices: encodeNotices([]notice.Record{{Server: "a", Notice: limited(2)}})})
-		Eventually(func() int { return limitsKnown(loop) }).Should(Equal(1))
+	It("limits the home's placements for other hosts", func() {
+		h, loop := startHome()
+		one := openLink(h)
+		one.send(&wire.ToHome{Notices: encodeNotices([]notice.Record{{Server: "a", Notice: limitNotice(2)}})})
+		Eventually(func() int { return countLimits(loop) }).Should(Equal(1))
 		begun := time.Now()
 		for id := range uint64(3) {
 			one.ask(id)
-			one.placed(id)
-			one.say(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: id, Result: uint32(sched.OK)}}})
+			one.awaitPlacement(id)
+			one.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: id, Result: uint32(sched.OK)}}})
 		}
 		Expect(time.Since(begun)).To(BeNumerically(">", 900*time.Millisecond))
 	})
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -11,33 +11,34 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// How word of roll-outs travels: the orders reach every host with the operator's table, and
-// each keeps the ordered version without requests until it is told more. The home carries
-// the order out and tells each step to all that follow it, so that a host which loses it
-// goes on with the servers that may be used.
+// Distribution of roll-outs: every host receives the orders with the operator's table, and
+// sends no requests to the ordered version until it is notified of a step. The home carries
+// out the order and notifies all hosts that follow it of each step, so that a host which
+// loses the home continues with the servers that may be used.
 
-// OnRollouts sets who gets the steps of the roll-outs that this host carries, on the loop's
-// goroutine; it must not block. It comes before Run.
-func (l *Loop) OnRollouts(stepped func([]rollout.Standing)) { l.stepped = stepped }
+// OnRollouts sets the function that receives the steps of the roll-outs that this host
+// carries out. It is called on the loop's goroutine and must not block. OnRollouts must be
+// called before Run.
+func (l *Loop) OnRollouts(onRollouts func([]rollout.Standing)) { l.onRollouts = onRollouts }
 
-// logRollouts writes a line for each step.
+// logRollouts records an event for each step.
 func (l *Loop) logRollouts(steps []rollout.Standing) {
 	for _, r := range steps {
 		l.events.Record(event.RolloutStep, event.Fields{Service: r.Order.Service, Detail: describe(r)})
 	}
 }
 
-// describe tells how a trial stands, for logs.
+// describe formats the state of a roll-out for logs.
 func describe(r rollout.Standing) string {
 	text := fmt.Sprintf("to=%s phase=%s why=%q reached=%.0f tried=%.0f answers=%d bad=%d", r.Order.To, r.Phase, r.Why, r.Reached, r.Tried, r.Answers, r.Bad)
 	for _, route := range slices.Sorted(maps.Keys(r.Routes)) {
-		one := r.Routes[route]
-		text += fmt.Sprintf(" %s=%d/%d/%.3f", route, one.Bad, one.Answers, one.Usual)
+		count := r.Routes[route]
+		text += fmt.Sprintf(" %s=%d/%d/%.3f", route, count.Bad, count.Answers, count.Usual)
 	}
 	return text
 }
 
-// TellRollouts tells the hosts that follow this one, if it leads, how far roll-outs got.
+// TellRollouts sends the progress of roll-outs to the linked hosts, if this host leads.
 func (h *Home) TellRollouts(steps []rollout.Standing) {
 	if !h.leads.Load() {
 		return
@@ -50,8 +51,8 @@
 	}
 }
 
-// tellAllRollouts tells one host how far each order got.
-func (h *Home) tellAllRollouts(l *holderLink) {
+// sendAllRollouts sends the progress of every order to one host, if this host leads.
+func (h *Home) sendAllRollouts(l *holderLink) {
 	if !h.leads.Load() {
 		return
 	}
@@ -70,14 +71,14 @@
 	return out
 }
 
-// learnRollouts takes what the home tells.
+// learnRollouts applies the progress of roll-outs that the home reports.
 func (c *Client) learnRollouts(list []*wire.Rollout) {
 	if len(list) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.local(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
 		for _, r := range list {
 			s.SettleOrder(rollout.Order{Service: r.Service, To: r.To, Row: r.Row}, rollout.Phase(r.Phase))
 		}
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -8,157 +8,160 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// A host without a home takes these parts of its even share. Of servers just
-// that: when a home stands still all hosts are alone at once, and with 1.6 they
-// put that much more into engines that were full (a day of such moments was
-// worth 0.03 less). Of quotas, and of the requests a second that servers name as
-// their limit, less: the home goes on giving out all of them, and what all hosts
-// give out together is bounded.
+// A host without a home takes these fractions of its even share. Of servers it takes the
+// even share: when the home pauses, all hosts schedule locally at once, and with 1.6 they
+// overload engines that are already full (the value of a day with many such pauses drops by
+// 0.03). Of quotas and of the rate limits that servers state it takes less, because the home
+// continues to use all of them and the total over all hosts is bounded.
 const (
-	aloneServers = 1.0
-	aloneLimits  = 0.7
-	aloneSends   = 0.4
+	standaloneServerShare = 1.0
+	standaloneQuotaShare  = 0.7
+	standaloneRateShare   = 0.4
 )
 
 const (
-	// A host that hears of nobody for lonelyTime takes itself for the
-	// only one. Until then it reckons with unknownHosts for servers, and with
-	// unknownLimits of quotas and limits, less than an even part of any fleet's: what
-	// goes beyond it waits a moment until the store has told of the others.
-	settleTime    = member.SettleTime
-	lonelyTime    = 3 * time.Second
-	unknownHosts  = 6
-	unknownLimits = 0.001
-	// silentHosts is how long a host that fell silent may still be at work on
-	// the other side of a cut; cuts heal within it as a rule.
-	silentHosts = 15 * time.Second
+	// A host that discovers no other host within discoveryTimeout assumes that it is the
+	// only one. Until then it assumes a fleet of unknownFleetHosts for its share of servers
+	// and takes unknownFleetLimitShare of quotas and rate limits. That is less than an even
+	// share of any fleet; requests beyond it wait briefly until the store has reported the
+	// other hosts.
+	settleTime             = member.SettleTime
+	discoveryTimeout       = 3 * time.Second
+	unknownFleetHosts      = 6
+	unknownFleetLimitShare = 0.001
+	// partitionTimeout is how long a host that stopped responding may still be scheduling
+	// on the other side of a network partition. Partitions usually heal within it.
+	partitionTimeout = 15 * time.Second
 )
 
 // lead sets the share of a host that is the home.
 //
-// Guard: all hosts start at once after a loss of power, and each knows only
-// itself at first. Were each the home of all, every account would get its
-// quota once for each host. So a host that has just started decides for itself
-// until it has had time to hear of others; one that is cut off with the fewer
-// hosts takes only their part.
+// After a power loss all hosts start at the same time, and each knows only itself at first.
+// If each acted as the home for all, every account would get its quota once per host. So a
+// host that has just started schedules only for itself until it has had time to discover
+// others. A home on the smaller side of a network partition takes only that side's share.
 //
-// A host that takes over from a home that others may still follow leads when most hosts
-// have turned to it, and has their part of the quotas; a home that most have left, or not
-// found within lonelyTime, has the part of the rest.
+// A host that takes over from a home which others may still follow leads once most hosts
+// follow it, with their share of the quotas. A home that most hosts have left, or have not
+// found within discoveryTimeout, takes the share of the remaining ones.
 func (f *Follower) lead(takesOver bool) {
-	live, silent := f.count()
+	live, silent := f.countHosts()
 	age := time.Since(f.started)
-	if age < settleTime && !f.complete(live) || live == 1 && f.listed() != 1 && age < lonelyTime {
-		f.alone()
+	if age < settleTime && !f.membershipComplete(live) || live == 1 && f.listedHosts() != 1 && age < discoveryTimeout {
+		f.goStandalone()
 		return
 	}
 	share := sched.Share{Servers: 1, Limits: 1}
 	if all := live + silent; 2*live < all {
 		share.Limits = float64(live) / float64(all)
 	}
-	follow := float64(f.followers()+1) / float64(live)
-	// Those that do not follow give out their parts, or another home gives out theirs.
-	share.Sends = share.Limits * followed(follow)
-	if takesOver && follow < mostFollow {
-		f.alone()
+	followFraction := float64(f.followers()+1) / float64(live)
+	// Hosts that do not follow use their own shares, or another home uses theirs.
+	share.Sends = share.Limits * roundUpFraction(followFraction)
+	if takesOver && followFraction < majority {
+		f.goStandalone()
 		return
 	}
 	if f.leadsSince.IsZero() {
 		f.leadsSince = time.Now()
 	}
-	left := follow < mostFollow && time.Since(f.leadsSince) > lonelyTime
-	if takesOver || left {
-		share = part(share, follow)
+	lostMajority := followFraction < majority && time.Since(f.leadsSince) > discoveryTimeout
+	if takesOver || lostMajority {
+		share = scaleShare(share, followFraction)
 	}
-	f.partial = share.Limits < 1
-	f.client.setWhole(share.Limits == 1)
-	f.leads(true)
+	f.partialQuotas = share.Limits < 1
+	f.client.setFullQuotas(share.Limits == 1)
+	f.setLeading(true)
 	f.setShare(share)
 }
 
 const (
-	// From nearlyAll of the live hosts on a home has all: a few are always on their way
-	// from one to another.
-	nearlyAll = 0.9
-	// mostFollow is the part of the hosts of which two homes cannot both have more.
-	mostFollow = 0.5
+	// fullShareThreshold is the fraction of the live hosts from which on a home has the full
+	// share: a few hosts are always switching from one home to another.
+	fullShareThreshold = 0.9
+	// majority is a fraction of the hosts that at most one home can exceed.
+	majority   = 0.5
 	shareSteps = 10
 )
 
-// part is the share of a home that a part of the live hosts follows. It changes in tenths,
-// since each change of a quota costs what its account had saved. Servers are given out
-// whole while most follow: hosts that fell silent with the home before count as live for
-// some seconds.
-func part(share sched.Share, follow float64) sched.Share {
-	follow = followed(follow)
-	share.Limits *= follow
-	if follow < mostFollow {
-		share.Servers *= follow
+// scaleShare reduces the share of a home to the fraction of the live hosts that follow it. The
+// share changes in steps of a tenth, since each change of a quota costs the account some of its
+// accumulated burst allowance. The share of servers is not reduced while most hosts follow:
+// hosts that failed together with the previous home count as live for some seconds.
+func scaleShare(share sched.Share, followFraction float64) sched.Share {
+	followFraction = roundUpFraction(followFraction)
+	share.Limits *= followFraction
+	if followFraction < majority {
+		share.Servers *= followFraction
 	}
 	return share
 }
 
-// followed rounds the part of the live hosts that follow a home up to a tenth.
-func followed(follow float64) float64 {
-	if follow >= nearlyAll {
+// roundUpFraction rounds the fraction of the live hosts that follow a home up to a tenth, and to
+// 1 from fullShareThreshold on.
+func roundUpFraction(fraction float64) float64 {
+	if fraction >= fullShareThreshold {
 		return 1
 	}
-	return math.Ceil(follow*shareSteps) / shareSteps
+	return math.Ceil(fraction*shareSteps) / shareSteps
 }
 
-// completeShare is the part of the hosts listed that must be heard of to take a fleet that
-// starts anew for complete: some may have been lost with what stopped it.
-const completeShare = 0.9
+// completeFraction is the fraction of the listed hosts that must be discovered for the
+// membership of a restarting fleet to count as complete. Some hosts may not come back after
+// the outage that stopped the fleet.
+const completeFraction = 0.9
 
-// complete reports whether nearly all hosts are heard of that others or the store tell of.
-func (f *Follower) complete(live int) bool {
-	listed := f.listed()
-	return listed > 1 && float64(live) >= completeShare*float64(listed)
+// membershipComplete reports whether nearly all hosts that other hosts or the store report
+// have been discovered.
+func (f *Follower) membershipComplete(live int) bool {
+	listedHosts := f.listedHosts()
+	return listedHosts > 1 && float64(live) >= completeFraction*float64(listedHosts)
 }
 
-// alone sets the share of a host that decides for itself.
-func (f *Follower) alone() {
-	f.client.setWhole(false)
-	f.leads(false)
-	f.leadsSince, f.partial = time.Time{}, false
-	live, silent := f.count()
-	n, age := max(live+silent, f.listed()), time.Since(f.started)
-	f.hosts = n
-	if n == 1 && age < lonelyTime || f.listed() == 0 && age < settleTime {
-		f.hosts = 0
-		f.setShare(sched.Share{Servers: aloneServers / unknownHosts, Limits: unknownLimits, Sends: unknownLimits})
+// goStandalone stops leading and sets the share of a host that schedules only for itself.
+func (f *Follower) goStandalone() {
+	f.client.setFullQuotas(false)
+	f.setLeading(false)
+	f.leadsSince, f.partialQuotas = time.Time{}, false
+	live, silent := f.countHosts()
+	n, age := max(live+silent, f.listedHosts()), time.Since(f.started)
+	f.standaloneHosts = n
+	if n == 1 && age < discoveryTimeout || f.listedHosts() == 0 && age < settleTime {
+		f.standaloneHosts = 0
+		f.setShare(sched.Share{Servers: standaloneServerShare / unknownFleetHosts, Limits: unknownFleetLimitShare, Sends: unknownFleetLimitShare})
 		return
 	}
 	even := 1 / float64(n)
-	f.setShare(sched.Share{Servers: min(1, aloneServers*even), Limits: aloneLimits * even, Sends: aloneSends * even})
+	f.setShare(sched.Share{Servers: min(1, standaloneServerShare*even), Limits: standaloneQuotaShare * even, Sends: standaloneRateShare * even})
 }
 
-// shareChange is the factor by which the number of hosts must change for the share of a
-// host that follows a home to be worked out anew.
-const shareChange = 1.1
+// hostCountChangeFactor is the factor by which the number of hosts must change for the
+// standalone share of a host that follows a home to be recomputed.
+const hostCountChangeFactor = 1.1
 
-// keepShare works out the share of a host that follows a home, for when that falls silent.
+// refreshStandaloneShare updates the share that a host which follows a home uses when the home
+// stops answering.
 //
-// Guard: a host knows little of the fleet when it starts and has next to nothing of the
-// quotas then. One that found its home at once kept that share, and when the home froze
-// its callers were told that their accounts were over their quotas.
-func (f *Follower) keepShare() {
-	live, silent := f.count()
-	n := float64(max(live+silent, f.listed()))
-	was := float64(f.hosts)
-	if n > was*shareChange || was > n*shareChange {
-		f.alone()
+// A host that has just started does not know the size of the fleet and takes a minimal share
+// of the quotas. If it kept that share after finding the home, its callers would be refused
+// for exceeding their accounts' quotas as soon as the home froze.
+func (f *Follower) refreshStandaloneShare() {
+	live, silent := f.countHosts()
+	n := float64(max(live+silent, f.listedHosts()))
+	previous := float64(f.standaloneHosts)
+	if n > previous*hostCountChangeFactor || previous > n*hostCountChangeFactor {
+		f.goStandalone()
 	}
 }
 
-// count returns how many hosts answer, this one included, and how many fell
-// silent lately without proof of their end.
-func (f *Follower) count() (live, silent int) {
+// countHosts returns how many hosts are live, this one included, and how many recently stopped
+// responding without proof that they ended.
+func (f *Follower) countHosts() (live, silent int) {
 	for _, m := range f.members.All() {
 		switch {
 		case m.State != member.Dead:
 			live++
-		case !m.Proved && time.Since(m.Since) < silentHosts:
+		case !m.Proved && time.Since(m.Since) < partitionTimeout:
 			silent++
 		}
 	}
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -10,19 +10,19 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// How word of requests that end servers travels:
+// Distribution of suspects, the requests under which servers ended:
 //
-// The home sees the ends of all runs. Within a round of its loop it tells each change, 100
-// bytes, to those that may take over, and what is urgent to all that have a link to it. A
-// host that begins to follow tells all it knows; what it lost itself it knows in any case,
-// so nothing is lost with a home, whoever is the next. What is told twice or late changes
-// nothing (see package quarantine).
+// The home sees the ends of all runs. Within a round of its loop it sends each change, 100
+// bytes, to the hosts that may take over, and urgent changes to all linked hosts. A host that
+// begins to follow a home sends it all its records. Every host records the runs that it lost
+// itself, so no record is lost with a home, whichever host takes over. Duplicate and late
+// records have no effect (see package quarantine).
 
-// suspectsPerMessage bounds the records in one message, 300 bytes each at most.
+// suspectsPerMessage is the maximum number of records in a message, each of up to 300 bytes.
 const suspectsPerMessage = 64
 
-// tellSuspects passes records on in messages of bounded size, until push fails.
-func tellSuspects(records []quarantine.Record, push func([]*wire.Suspect) bool) {
+// sendSuspects sends records in messages of bounded size, until push fails.
+func sendSuspects(records []quarantine.Record, push func([]*wire.Suspect) bool) {
 	for len(records) > 0 {
 		n := min(suspectsPerMessage, len(records))
 		if !push(encodeSuspects(records[:n])) {
@@ -64,49 +64,51 @@
 	return out
 }
 
-// TellSuspects tells the hosts that have a link here what has changed, if this one leads:
-// successors everything, the others what is urgent or lifted.
+// TellSuspects sends changed records to the linked hosts, if this host leads: all of them to
+// the hosts that may take over, and to the others those that are urgent or have left
+// quarantine.
 func (h *Home) TellSuspects(records []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
 	if !h.leads.Load() {
 		return
 	}
 	urgent := slices.DeleteFunc(slices.Clone(records), func(r quarantine.Record) bool { return !r.Urgent() && !lifted(r.Fingerprint) })
-	successors := h.next()
+	successors := h.nextHomes()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for holder, l := range h.links {
 		if slices.Contains(successors, holder) {
-			l.tellSuspects(records)
+			l.sendSuspects(records)
 		} else {
-			l.tellSuspects(urgent)
+			l.sendSuspects(urgent)
 		}
 	}
 }
 
-func (l *holderLink) tellSuspects(records []quarantine.Record) {
-	tellSuspects(records, func(list []*wire.Suspect) bool {
+func (l *holderLink) sendSuspects(records []quarantine.Record) {
+	sendSuspects(records, func(list []*wire.Suspect) bool {
 		l.send(&wire.ToHolder{Suspects: list})
 		return true
 	})
 }
 
-// tellAllSuspects tells one host what it needs of all that is known here.
-func (h *Home) tellAllSuspects(l *holderLink) {
-	all := slices.Contains(h.next(), l.holder)
+// sendAllSuspects sends the known records to one host: all of them if it may take over, else the
+// urgent ones.
+func (h *Home) sendAllSuspects(l *holderLink) {
+	all := slices.Contains(h.nextHomes(), l.holder)
 	h.loop.Do(func(now sched.Time, s *sched.Scheduler) {
-		l.tellSuspects(slices.DeleteFunc(s.Suspects(now), func(r quarantine.Record) bool { return !all && !r.Urgent() }))
+		l.sendSuspects(slices.DeleteFunc(s.Suspects(now), func(r quarantine.Record) bool { return !all && !r.Urgent() }))
 	})
 }
 
-// tellSuspects tells a home that this host begins to follow everything.
-func (c *Client) tellSuspects(l *homeLink) {
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
-		tellSuspects(s.Suspects(now), func(list []*wire.Suspect) bool { return l.push(&wire.ToHome{Suspects: list}) })
+// sendSuspects sends all known records to a home that this host begins to follow.
+func (c *Client) sendSuspects(l *homeLink) {
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
+		sendSuspects(s.Suspects(now), func(list []*wire.Suspect) bool { return l.push(&wire.ToHome{Suspects: list}) })
 		return nil
 	})
 }
 
-// learnSuspects takes what the home tells.
+// learnSuspects applies records that the home has sent.
 func (c *Client) learnSuspects(list []*wire.Suspect) {
 	if len(list) == 0 {
 		return
@@ -114,21 +116,22 @@
 	records := decodeSuspects(list)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.LearnSuspects(now, records) })
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.LearnSuspects(now, records) })
 }
 
-// learnLoss keeps a run that was lost with its server in this host's own table as well. The
+// learnLoss records a run that was lost with its server in this host's own table as well. The
 // caller holds mu.
 func (c *Client) learnLoss(p *pending, shown bool) {
 	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, Shown: shown}
-	c.local(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
+	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.LearnLoss(now, loss)
 		return nil
 	})
 }
 
-// OnRevoke has f called when the place is revoked: its request was put in quarantine. f
-// gets when to come back and what is held against the request; it must not block.
+// OnRevoke sets f to be called when the placement is revoked because its request was put in
+// quarantine. The refusal passed to f states when to retry and why the request is
+// quarantined; f must not block.
 func (c *Client) OnRevoke(id uint64, f func(*Refused)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,15 +140,15 @@
 	}
 }
 
-// LearnSuspects takes what the store keeps of requests that end servers.
+// LearnSuspects applies records from the store.
 func (l *Loop) LearnSuspects(records []quarantine.Record) {
 	l.push(context.Background(), func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		return s.LearnSuspects(now, records)
 	})
 }
 
-// logSuspects writes a line for each request that goes into quarantine or out of it, and
-// returns the latter.
+// logSuspects records an event for each request that enters or leaves quarantine, and returns
+// those that leave it.
 func (l *Loop) logSuspects(records []quarantine.Record) (lifted map[quarantine.Fingerprint]bool) {
 	lifted = map[quarantine.Fingerprint]bool{}
 	for _, r := range records {
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -12,25 +12,25 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-var fatal = quarantine.Of("POST", "h", "/", "account", []byte("fatal"))
+var fatalFingerprint = quarantine.Of("POST", "h", "/", "account", []byte("fatal"))
 
-// suspectsOf is what the loop of a host knows.
+// suspectsOf returns the records that a loop knows.
 func suspectsOf(l *Loop) (known []quarantine.Record) {
 	l.Query(context.Background(), func(s *sched.Scheduler) { known = s.Suspects(time.Hour) })
 	return known
 }
 
-// endedUnder is word of servers that ended under the request.
-func endedUnder(servers ...string) *wire.Suspect {
-	m := &wire.Suspect{Fingerprint: fatal.Bytes(), Service: "svc"}
+// suspectWithEnds returns a record of servers that ended under the request.
+func suspectWithEnds(servers ...string) *wire.Suspect {
+	m := &wire.Suspect{Fingerprint: fatalFingerprint.Bytes(), Service: "svc"}
 	for i, server := range servers {
 		m.Ends = append(m.Ends, &wire.ServerEnd{Server: server, AgoMs: uint32(10_000 - 2_000*i)})
 	}
 	return m
 }
 
-// toldOf reads until the home tells of suspects.
-func (e *holderEnd) toldOf() []*wire.Suspect {
+// readSuspects reads until the home sends records.
+func (e *holderEnd) readSuspects() []*wire.Suspect {
 	Expect(e.conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
 	for {
 		m := &wire.ToHolder{}
@@ -41,51 +41,51 @@
 	}
 }
 
-var _ = Describe("word of requests that end servers", func() {
-	// Story: the home goes, with what it knew. The hosts that follow the next one had lost
-	// the runs; what each of them knows must come together there.
-	It("comes together at the home that hosts begin to follow", func() {
-		h, loop := homeFor()
+var _ = Describe("a record of a request under which servers ended", func() {
+	// The home is lost with its records. The new home must merge the records of the hosts that
+	// begin to follow it, each of which knows the runs that it lost itself.
+	It("is merged from all hosts that begin to follow a home", func() {
+		h, loop := startHome()
 		h.Lead(true)
-		linkTo(h).say(&wire.ToHome{Suspects: []*wire.Suspect{endedUnder("e1")}})
+		openLink(h).send(&wire.ToHome{Suspects: []*wire.Suspect{suspectWithEnds("e1")}})
 		Eventually(func() []quarantine.Record { return suspectsOf(loop) }).Should(HaveLen(1))
-		linkTo(h).say(&wire.ToHome{Suspects: []*wire.Suspect{endedUnder("e1", "e2")}})
+		openLink(h).send(&wire.ToHome{Suspects: []*wire.Suspect{suspectWithEnds("e1", "e2")}})
 		Eventually(func() int { return len(suspectsOf(loop)[0].Ends) }).Should(Equal(2))
 	})
 
 	It("reaches a host that begins to follow", func() {
-		h, loop := homeFor()
+		h, loop := startHome()
 		h.Lead(true)
-		loop.LearnSuspects(decodeSuspects([]*wire.Suspect{endedUnder("e1", "e2")}))
-		told := linkTo(h).toldOf()
+		loop.LearnSuspects(decodeSuspects([]*wire.Suspect{suspectWithEnds("e1", "e2")}))
+		told := openLink(h).readSuspects()
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].Ends).To(HaveLen(2))
 	})
 
-	// Story: a request's third end is known at the home, which is lost in the next moment.
-	// Hosts that did not hear of it would send the request on.
-	It("reaches those that follow when it is urgent", func() {
-		h, loop := homeFor()
+	// The home learns of a third server that ended under a request, and is lost right after.
+	// Hosts that were not notified would continue to send the request.
+	It("reaches following hosts at once if it is urgent", func() {
+		h, loop := startHome()
 		h.Lead(true)
-		e := linkTo(h)
+		e := openLink(h)
 		Eventually(h.Followers).Should(Equal(1))
-		loop.LearnSuspects(decodeSuspects([]*wire.Suspect{endedUnder("e1", "e2", "e3")}))
-		Expect(e.toldOf()[0].Ends).To(HaveLen(3))
+		loop.LearnSuspects(decodeSuspects([]*wire.Suspect{suspectWithEnds("e1", "e2", "e3")}))
+		Expect(e.readSuspects()[0].Ends).To(HaveLen(3))
 	})
 
-	// Story: a host loses a run with its server, and its home in the same moment.
+	// A host loses a run together with its server, and its home at the same time.
 	It("is kept by the host whose run was lost", func() {
-		c, loop := hostOf(never, "a")
-		p := &pending{ask: &Ask{Service: "svc", Fingerprint: fatal}, server: "a", placed: time.Now(), via: nil}
+		c, loop := startHost(neverLeaving, "a")
+		p := &pending{ask: &Ask{Service: "svc", Fingerprint: fatalFingerprint}, server: "a", placedAt: time.Now(), via: nil}
 		c.mu.Lock()
 		c.learnLoss(p, false)
 		c.mu.Unlock()
 		Eventually(func() []quarantine.Record { return suspectsOf(loop) }).Should(HaveLen(1))
 	})
 
-	It("travels whole", func() {
+	It("is encoded completely", func() {
 		r := quarantine.Record{
-			Fingerprint: fatal, Account: "a", Service: "s", Quarantined: true, Age: time.Second, RetryIn: time.Minute, By: "front-1",
+			Fingerprint: fatalFingerprint, Account: "a", Service: "s", Quarantined: true, Age: time.Second, RetryIn: time.Minute, By: "front-1",
 			Cleared: true, ClearedAge: time.Hour, Ends: []quarantine.End{{Server: "e1", Age: 2 * time.Second, Shown: true, Distinct: true}},
 		}
 		Expect(decodeSuspects(encodeSuspects([]quarantine.Record{r}))).To(Equal([]quarantine.Record{r}))
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -10,22 +10,22 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// watch notices a home that falls silent.
+// watch detects a home that stops answering.
 //
-// Guard: a home that is frozen, cut off or overloaded leaves asks unanswered
-// while its connection stays open. An ask that gets no word in time goes to the
-// loop of this host, which owes nothing to the home. One that gets none within
-// ackMost, or a ping none within silentAfter, makes the home suspect: new asks
-// are decided here. What waits in its queue stays there for suspectTime, since
-// most such pauses are short, and a fleet that asks anew for all that waits fills
-// its engines twice over. After that the link ends, and all is asked for here.
+// A home that is frozen, partitioned or overloaded leaves placement requests unanswered while
+// its connection stays open. A request that is not answered in time is submitted to the local
+// loop, which does not depend on the home. If a request is not answered within maxAckTimeout,
+// or a ping within pingTimeout, the home becomes suspect: new requests go to the local loop.
+// Requests in the home's queue stay there for suspectTimeout, since most such pauses are
+// short, and if every host submitted all its waiting requests again, the engines would be
+// filled twice over. After that the link ends, and all requests move to the local loop.
 func (f *Follower) watch(ctx context.Context, l *homeLink, address string) {
 	tick := time.NewTicker(watchPeriod)
 	defer tick.Stop()
 	w := newLinkWatch(f.client, l)
 	for {
 		if w.check(time.Now()) {
-			f.linkMoved(l, w.state(), address)
+			f.enterLinkState(l, w.state(), address)
 		}
 		if w.state() == linkLost {
 			return
@@ -38,47 +38,47 @@
 	}
 }
 
-// linkMoved acts on a link that has entered a state.
-func (f *Follower) linkMoved(l *homeLink, to chart.State, address string) {
+// enterLinkState performs the actions of the link state that was entered.
+func (f *Follower) enterLinkState(l *homeLink, to chart.State, address string) {
 	switch to {
 	case linkSuspect:
-		f.events.Record(event.PeerSilent, event.Fields{Peer: l.host, Detail: "the home does not answer"})
-		f.client.suspect(l)
+		f.events.Record(event.PeerSilent, event.Fields{Peer: l.host, Detail: "home stopped answering"})
+		f.client.markSuspect(l)
 	case linkAnswering:
-		f.events.Record(event.HomeMoved, event.Fields{Peer: l.host, Detail: "it answers again"})
-		if l.led.Load() {
+		f.events.Record(event.HomeMoved, event.Fields{Peer: l.host, Detail: "home is answering again"})
+		if l.leading.Load() {
 			f.client.follow(l)
 		}
 	case linkLost:
-		f.distrust.add(time.Now(), l.inc)
+		f.lostHomes.add(time.Now(), l.incarnation)
 		f.client.unfollow(l)
 		f.sessions.Discard(address)
 		l.stream.Abort()
 	}
 }
 
-// The states of the link chart, and its events.
+// States and events of the link chart.
 const (
 	linkAnswering chart.State = "answering"
 	linkSuspect   chart.State = "suspect"
 	linkLost      chart.State = "lost"
 
-	linkSilent chart.Event = "silent"
-	linkAnswer chart.Event = "answer"
-	linkExpire chart.Event = "expire"
-	linkNoNews chart.Event = ""
+	linkSilent  chart.Event = "silent"
+	linkAnswer  chart.Event = "answer"
+	linkExpire  chart.Event = "expire"
+	linkNoEvent chart.Event = ""
 )
 
 var linkChart = charts.MustLoad().Link
 
-// linkWatch judges a link to the home by its answers.
+// linkWatch tracks the state of a link to a home by the home's answers.
 type linkWatch struct {
-	client  *Client
-	link    *homeLink
-	machine chart.Machine
-	ping    uint32 // newest
-	sent    time.Time
-	suspect time.Time // since when
+	client       *Client
+	link         *homeLink
+	machine      chart.Machine
+	ping         uint32 // number of the newest ping
+	sentAt       time.Time
+	suspectSince time.Time // when the link became suspect
 }
 
 func newLinkWatch(c *Client, l *homeLink) *linkWatch {
@@ -87,63 +87,63 @@
 
 func (w *linkWatch) state() chart.State { return w.machine.State() }
 
-// check looks at the link and reports whether its state has changed; it is called
-// each watchPeriod. A suspect home is back when it answers the ping that is open
-// then, which check sends if there is none.
-func (w *linkWatch) check(now time.Time) (moved bool) {
-	open := w.ping != w.link.ponged.Load()
-	if e := w.observe(now, open); e != linkNoNews {
-		moved = w.machine.Fire(e) == nil // observe names only events that the state has
+// check updates the state of the link and reports whether it has changed. It is called every
+// watchPeriod. A suspect home recovers by answering the outstanding ping; check sends one if
+// none is outstanding.
+func (w *linkWatch) check(now time.Time) (changed bool) {
+	outstanding := w.ping != w.link.lastPong.Load()
+	if e := w.observe(now, outstanding); e != linkNoEvent {
+		changed = w.machine.Fire(e) == nil // observe names only events that the state has
 		if e == linkSilent {
-			w.suspect = now
+			w.suspectSince = now
 		}
 	}
-	if !open && w.pingDue(now) {
-		w.send(now)
+	if !outstanding && w.pingDue(now) {
+		w.sendPing(now)
 	}
-	w.client.tellCharges(w.link)
-	return moved
+	w.client.sendCharges(w.link)
+	return changed
 }
 
-// observe tells what a look at the link shows.
-func (w *linkWatch) observe(now time.Time, open bool) chart.Event {
-	overdue := w.client.overdue(w.link, now)
+// observe returns the chart event that applies to the link now.
+func (w *linkWatch) observe(now time.Time, outstanding bool) chart.Event {
+	overdue := w.client.resubmitOverdue(w.link, now)
 	switch w.state() {
 	case linkAnswering:
-		if overdue || open && now.Sub(w.sent) > silentAfter {
+		if overdue || outstanding && now.Sub(w.sentAt) > pingTimeout {
 			return linkSilent
 		}
 	case linkSuspect:
-		if !open {
+		if !outstanding {
 			return linkAnswer
 		}
-		if now.Sub(w.suspect) > suspectTime {
+		if now.Sub(w.suspectSince) > suspectTimeout {
 			return linkExpire
 		}
 	}
-	return linkNoNews
+	return linkNoEvent
 }
 
-// pingDue reports whether the home is to be asked whether it answers. One that has just
-// said something is not: with hundreds of hosts that all have requests waiting, pings
-// and their answers were more messages than all others.
+// pingDue reports whether to ping the home. A home that has just sent a message is not pinged:
+// with hundreds of hosts that all have requests waiting, pings and their answers would
+// outnumber all other messages.
 func (w *linkWatch) pingDue(now time.Time) bool {
 	if w.ping == 0 || w.state() == linkSuspect {
 		return true
 	}
-	if !w.link.led.Load() {
-		return now.Sub(w.sent) > askPeriod
+	if !w.link.leading.Load() {
+		return now.Sub(w.sentAt) > leadingPollPeriod
 	}
-	heard := w.link.opened.Add(time.Duration(w.link.heard.Load()))
-	return now.Sub(w.sent) > pingPeriod && now.Sub(heard) > pingPeriod && w.client.waitsAt(w.link)
+	lastReceived := w.link.openedAt.Add(time.Duration(w.link.lastReceived.Load()))
+	return now.Sub(w.sentAt) > pingPeriod && now.Sub(lastReceived) > pingPeriod && w.client.waitsAt(w.link)
 }
 
-// askPeriod is how often a host that is to lead is asked whether it does.
-const askPeriod = 250 * time.Millisecond
+// leadingPollPeriod is how often a home that does not lead yet is asked whether it does.
+const leadingPollPeriod = 250 * time.Millisecond
 
-// send pings the home; its answer comes after those to all earlier messages.
-func (w *linkWatch) send(now time.Time) {
+// sendPing pings the home. The home answers it after all earlier messages.
+func (w *linkWatch) sendPing(now time.Time) {
 	w.ping++
-	w.sent = now
+	w.sentAt = now
 	w.link.push(&wire.ToHome{Ping: w.ping})
 }
