--- a/internal/sched/fatal_load_test.go
+++ b/internal/sched/fatal_load_test.go
@@ -13,63 +13,62 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
-// The load of a day on which some requests end each engine that begins to run them: nine
-// engines of eight places, ordinary streams that fill half of them, and a few fatal requests
-// that come again and again at any host, also while earlier copies wait. An engine that has
-// ended refuses connections, is listed for a while, and is replaced after seconds, as was
-// seen of engines whose process is started anew by a supervisor. A caller whose answer broke
-// off comes again once, under a new id.
+// The load contains requests that end each engine that starts to run them: nine engines of
+// eight slots, ordinary streams that fill half of the slots, and a few fatal requests that
+// arrive repeatedly at any host, also while earlier copies wait. An engine that has ended
+// refuses connections, stays listed for a while and is replaced after seconds, like an engine
+// that a supervisor restarts. A caller whose answer was cut off retries once, under a new ID.
 const (
-	fatalEngines   = 9
-	ordinaryRate   = 20 // a second
-	fatalRate      = 6  // a second for each fatal request
-	fatalTime      = 20 * time.Second
-	listedFor      = 3600 * ms // after the end
-	restartsAfter  = 3 * time.Second
-	fatalAfterMost = 400 * ms // from the place to the engine's end
-	// A request that has ended three servers may reach three more later than learnTime
-	// after that; so much may be needed to know it.
-	learnTime    = 3 * time.Second
-	lateSendsMax = 3
+	fatalEngines      = 9
+	ordinaryRate      = 20 // per second
+	fatalRate         = 6  // per second for each fatal request
+	fatalLoadDuration = 20 * time.Second
+	listedAfterEnd    = 3600 * ms // after the engine's end
+	restartDelay      = 3 * time.Second
+	maxFatalDelay     = 400 * ms // from the placement to the engine's end
+	// A request that has ended three servers may be sent up to maxLateSends times later than
+	// detectionTime after the third end: its detection may need that many ends.
+	detectionTime = 3 * time.Second
+	maxLateSends  = 3
 )
 
-type fatalDay struct {
-	s       *Scheduler
-	rng     *rand.Rand
-	agenda  agenda
-	next    uint64
-	engines int
-	live    map[string]bool
-	listed  []Server
-	open    map[Key]*fatalRun
-	fatal   []*fatalRequest
-
-	ordinary, served, lostTwice, wrongly int
+type fatalLoadDriver struct {
+	s           *Scheduler
+	rng         *rand.Rand
+	agenda      agenda
+	next        uint64
+	engines     int
+	liveEngines map[string]bool
+	listed      []Server
+	inFlight    map[Key]*fatalRun
+	fatal       []*fatalRequest
+
+	ordinary, served, lostTwice, wronglyRefused int
 }
 
-// fatalRequest is one request that ends engines.
+// fatalRequest is a request that ends engines.
 type fatalRequest struct {
-	fingerprint quarantine.Fingerprint
-	ends        []Time
-	sends       []Time
-	told        int // that it is in quarantine
+	fingerprint        quarantine.Fingerprint
+	ends               []Time
+	sends              []Time
+	quarantineRefusals int
 }
 
 type fatalRun struct {
 	Request
-	fatal  *fatalRequest // nil: an ordinary request
-	again  bool
-	server string
-	over   bool
+	fatal   *fatalRequest // nil for an ordinary request
+	isRetry bool
+	server  string
+	done    bool
 }
 
-func newFatalDay(seed uint64, fatal int) *fatalDay {
-	d := &fatalDay{
-		s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 7)), live: map[string]bool{}, open: map[Key]*fatalRun{},
+func newFatalLoadDriver(seed uint64, fatal int) *fatalLoadDriver {
+	d := &fatalLoadDriver{
+		s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 7)), liveEngines: map[string]bool{}, inFlight: map[Key]*fatalRun{},
 	}
 	d.s.SetServices(0, []Service{{Name: engine, Engine: true, KVTokens: 200_000, Stride: 3}})
 	for range fatalEngines {
-		d.start(0)
+		d.startEngine(0)
 	}
 	for i := range fatal {
 		d.fatal = append(d.fatal, &fatalRequest{fingerprint: fingerprintOf(-1 - i)})
@@ -81,140 +80,140 @@
 	return quarantine.Of("POST", "h", "/", "account", fmt.Append(nil, n))
 }
 
-func (d *fatalDay) at(t Time, do func(Time)) { heap.Push(&d.agenda, happening{t, do}) }
+func (d *fatalLoadDriver) at(t Time, do func(Time)) { heap.Push(&d.agenda, happening{t, do}) }
 
-func (d *fatalDay) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(d.rng.Int64N(int64(most-least)))
+func (d *fatalLoadDriver) randomBetween(lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(d.rng.Int64N(int64(upper-lower)))
 }
 
-func (d *fatalDay) start(now Time) {
+func (d *fatalLoadDriver) startEngine(now Time) {
 	d.engines++
 	id := fmt.Sprintf("e%d", d.engines)
-	d.live[id] = true
+	d.liveEngines[id] = true
 	d.listed = append(d.listed, Server{ID: id, Service: engine, Address: id, Slots: loadSlots})
 	d.s.SetServers(now, slices.Clone(d.listed))
 }
 
-// end ends an engine with all that runs there.
-func (d *fatalDay) end(now Time, id string) {
-	if !d.live[id] {
+// endEngine ends an engine and all its runs.
+func (d *fatalLoadDriver) endEngine(now Time, id string) {
+	if !d.liveEngines[id] {
 		return
 	}
-	delete(d.live, id)
-	for k, r := range d.open {
+	delete(d.liveEngines, id)
+	for k, r := range d.inFlight {
 		if r.server != id {
 			continue
 		}
 		if r.fatal != nil {
 			r.fatal.ends = append(r.fatal.ends, now)
 		}
-		r.over = true
-		delete(d.open, k)
-		d.at(now+d.between(2*ms, 20*ms), func(at Time) {
-			d.take(at, d.s.Finish(at, Outcome{Key: k, Result: Ended}))
+		r.done = true
+		delete(d.inFlight, k)
+		d.at(now+d.randomBetween(2*ms, 20*ms), func(at Time) {
+			d.apply(at, d.s.Finish(at, Outcome{Key: k, Result: Ended}))
 		})
 		if r.fatal == nil {
-			d.comeAgain(now, r)
+			d.retryOnce(now, r)
 		}
 	}
-	d.at(now+listedFor, func(at Time) {
+	d.at(now+listedAfterEnd, func(at Time) {
 		d.listed = slices.DeleteFunc(d.listed, func(s Server) bool { return s.ID == id })
 		d.s.SetServers(at, slices.Clone(d.listed))
 	})
-	d.at(now+restartsAfter, d.start)
+	d.at(now+restartDelay, d.startEngine)
 }
 
-func (d *fatalDay) comeAgain(now Time, r *fatalRun) {
-	if r.again {
+func (d *fatalLoadDriver) retryOnce(now Time, r *fatalRun) {
+	if r.isRetry {
 		d.lostTwice++
 		return
 	}
-	d.at(now+d.between(5*ms, 60*ms), func(at Time) { d.submit(at, r.Fingerprint, nil, true) })
+	d.at(now+d.randomBetween(5*ms, 60*ms), func(at Time) { d.submit(at, r.Fingerprint, nil, true) })
 }
 
-func (d *fatalDay) submit(now Time, f quarantine.Fingerprint, fatal *fatalRequest, again bool) {
+func (d *fatalLoadDriver) submit(now Time, f quarantine.Fingerprint, fatal *fatalRequest, isRetry bool) {
 	d.next++
-	r := &fatalRun{fatal: fatal, again: again}
+	r := &fatalRun{fatal: fatal, isRetry: isRetry}
 	r.Key, r.Service, r.Fingerprint = Key{Holder: d.next % 7, ID: d.next}, engine, f
 	r.PromptTokens, r.OutputTokens = 500, 40+d.rng.IntN(300)
 	r.Arrived, r.Aim, r.Deadline = now, now+800*ms, now+8*time.Second
-	d.open[r.Key] = r
+	d.inFlight[r.Key] = r
 	out, _ := d.s.Submit(now, r.Request)
-	d.take(now, out)
+	d.apply(now, out)
 }
 
-// take plays what the scheduler decides.
-func (d *fatalDay) take(now Time, out []Decision) {
+// apply carries out the scheduler's decisions.
+func (d *fatalLoadDriver) apply(now Time, out []Decision) {
 	for _, decision := range out {
-		r := d.open[decision.Key]
+		r := d.inFlight[decision.Key]
 		switch {
 		case r == nil:
 		case decision.Reason == 0:
-			d.run(now, r, decision.Server)
+			d.startRun(now, r, decision.Server)
 		case r.server != "":
-			d.revoked(now, r)
+			d.finishRevoked(now, r)
 		default:
-			delete(d.open, r.Key)
+			delete(d.inFlight, r.Key)
 			if decision.Reason == Quarantined && r.fatal == nil {
-				d.wrongly++
+				d.wronglyRefused++
 			} else if decision.Reason == Quarantined {
-				r.fatal.told++
+				r.fatal.quarantineRefusals++
 			}
 		}
 	}
 }
 
-func (d *fatalDay) revoked(now Time, r *fatalRun) {
-	r.over = true
-	delete(d.open, r.Key)
-	d.at(now+3*ms, func(at Time) { d.take(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Left})) })
+func (d *fatalLoadDriver) finishRevoked(now Time, r *fatalRun) {
+	r.done = true
+	delete(d.inFlight, r.Key)
+	d.at(now+3*ms, func(at Time) { d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Left})) })
 }
 
-func (d *fatalDay) run(now Time, r *fatalRun, server string) {
+func (d *fatalLoadDriver) startRun(now Time, r *fatalRun, server string) {
 	r.server = server
-	if !d.live[server] {
+	if !d.liveEngines[server] {
 		r.server = ""
 		d.at(now+3*ms, func(at Time) {
-			d.take(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Unreachable}))
-			delete(d.open, r.Key)
-			d.submit(at, r.Fingerprint, r.fatal, r.again)
+			d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Unreachable}))
+			delete(d.inFlight, r.Key)
+			d.submit(at, r.Fingerprint, r.fatal, r.isRetry)
 		})
 		return
 	}
 	if r.fatal != nil {
 		r.fatal.sends = append(r.fatal.sends, now)
-		d.at(now+d.between(60*ms, fatalAfterMost), func(at Time) {
-			if !r.over {
-				d.end(at, server)
+		d.at(now+d.randomBetween(60*ms, maxFatalDelay), func(at Time) {
+			if !r.done {
+				d.endEngine(at, server)
 			}
 		})
 		return
 	}
 	took := time.Duration(r.OutputTokens) * 7 * ms
 	d.at(now+took, func(at Time) {
-		if r.over {
+		if r.done {
 			return
 		}
 		d.served++
-		delete(d.open, r.Key)
-		d.take(at, d.s.Finish(at, Outcome{Key: r.Key, Result: OK, First: 100 * ms, Pace: 7 * ms}))
+		delete(d.inFlight, r.Key)
+		d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: OK, First: 100 * ms, Pace: 7 * ms}))
 	})
 }
 
-func (d *fatalDay) play() {
-	for t := Time(0); t < fatalTime; t += time.Second / ordinaryRate {
-		d.at(t+d.between(0, 50*ms), func(at Time) {
+func (d *fatalLoadDriver) simulate() {
+	for t := Time(0); t < fatalLoadDuration; t += time.Second / ordinaryRate {
+		d.at(t+d.randomBetween(0, 50*ms), func(at Time) {
 			d.ordinary++
 			d.submit(at, fingerprintOf(d.ordinary), nil, false)
 		})
 	}
 	for _, f := range d.fatal {
-		for t := 2 * time.Second; t < fatalTime; t += time.Second / fatalRate {
-			d.at(t+d.between(0, 160*ms), func(at Time) { d.submit(at, f.fingerprint, f, false) })
+		for t := 2 * time.Second; t < fatalLoadDuration; t += time.Second / fatalRate {
+			d.at(t+d.randomBetween(0, 160*ms), func(at Time) { d.submit(at, f.fingerprint, f, false) })
 		}
 	}
-	for t := Time(0); t < fatalTime+10*time.Second; t += 10 * ms {
-		d.at(t, func(at Time) { d.take(at, d.s.Tick(at)) })
+	for t := Time(0); t < fatalLoadDuration+10*time.Second; t += 10 * ms {
+		d.at(t, func(at Time) { d.apply(at, d.s.Tick(at)) })
 	}
 	for len(d.agenda) > 0 {
 		next := heap.Pop(&d.agenda).(happening)
@@ -222,33 +221,33 @@
 	}
 }
 
-func (f *fatalRequest) late() (n int) {
+func (f *fatalRequest) lateSends() (n int) {
 	if len(f.ends) < 3 {
 		return 0
 	}
 	for _, at := range f.sends {
-		if at > f.ends[2]+learnTime {
+		if at > f.ends[2]+detectionTime {
 			n++
 		}
 	}
 	return n
 }
 
-var _ = Describe("requests that end the engines which run them", func() {
-	// Story: a review crashes each engine that begins to run it, with up to seven others. It
-	// comes again at other hosts, several at once. Engine after engine ended, and callers
-	// beside it lost their answers twice.
-	DescribeTable("are kept from further engines, and nobody else is",
+var _ = Describe("requests that end the engines that run them", func() {
+	// A review request crashes each engine that starts to run it, with up to seven other runs.
+	// It is retried at other hosts, several copies at once, so that engine after engine ended
+	// and other callers lost their answers twice.
+	DescribeTable("are kept from further engines, and no other requests are",
 		func(fatal int) {
 			for seed := range uint64(20) {
-				d := newFatalDay(seed, fatal)
-				d.play()
+				d := newFatalLoadDriver(seed, fatal)
+				d.simulate()
 				for _, f := range d.fatal {
-					Expect(f.late()).To(BeNumerically("<=", lateSendsMax), "seed %d: %d sends, %d ends", seed, len(f.sends), len(f.ends))
-					Expect(f.told).To(BeNumerically(">", 0), "seed %d", seed)
+					Expect(f.lateSends()).To(BeNumerically("<=", maxLateSends), "seed %d: %d sends, %d ends", seed, len(f.sends), len(f.ends))
+					Expect(f.quarantineRefusals).To(BeNumerically(">", 0), "seed %d", seed)
 				}
-				Expect(d.wrongly).To(BeZero(), "seed %d", seed)
-				GinkgoWriter.Printf("seed %d: engines ended %d, served %d of %d, lost twice %d\n", seed, d.engines-len(d.live), d.served, d.ordinary, d.lostTwice)
+				Expect(d.wronglyRefused).To(BeZero(), "seed %d", seed)
+				GinkgoWriter.Printf("seed %d: engines ended %d, served %d of %d, lost twice %d\n", seed, d.engines-len(d.liveEngines), d.served, d.ordinary, d.lostTwice)
 			}
 		},
 		Entry("one", 1), Entry("two", 2), Entry("five", 5),
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -22,7 +22,7 @@
 // with nothing else to do. That of which even this one is too slow is not asked of
 // any.
 func (s *Scheduler) needs(now Time, svc *service, fastest *server, r *Request) need {
-	if fastest != nil && !fastest.open(now, r) {
+	if fastest != nil && !fastest.eligible(now, r) {
 		fastest = svc.fastest(now, r)
 	}
 	if fastest == nil {
@@ -68,7 +68,7 @@
 	if most == math.MaxInt64 {
 		return math.Inf(1)
 	}
-	left := most - max(0, s.prefillFree-now) - svc.eventTime(s)
+	left := most - max(0, s.prefillFreeAt-now) - svc.eventTime(s)
 	return float64(left) / (svc.readShare * float64(s.tokenTime))
 }
 
@@ -135,7 +135,7 @@
 func (svc *service) fastest(now Time, r *Request) *server {
 	var best *server
 	for _, srv := range svc.servers {
-		if r != nil && !srv.open(now, r) {
+		if r != nil && !srv.eligible(now, r) {
 			continue
 		}
 		if srv.usable(now) && srv.pacer.ready(now) && (best == nil || srv.tokenTime < best.tokenTime) {
--- a/internal/sched/inventory.go
+++ b/internal/sched/inventory.go
@@ -9,7 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SetShare changes the part that this scheduler has.
+// SetShare changes the share of servers, quotas and retry budgets that this scheduler may
+// use.
 func (s *Scheduler) SetShare(now Time, share Share) {
 	factor := share.Limits / s.share.Limits
 	for _, b := range s.accounts {
@@ -20,14 +21,14 @@
 	}
 	s.share = share
 	for _, srv := range s.servers {
-		s.heed(now, srv)
+		s.applyNotice(now, srv)
 	}
 	s.suspects.SetPartial(share.Servers < 1)
 	s.SetAccounts(now, s.quotas)
 }
 
-// SetServices takes over the configuration's services. Requests that wait for
-// one that is gone are refused at the next Tick.
+// SetServices applies the configured services. Requests that wait for a removed service are
+// refused at the next Tick.
 func (s *Scheduler) SetServices(now Time, services []Service) {
 	for _, spec := range services {
 		svc := s.services[spec.Name]
@@ -44,13 +45,13 @@
 			delete(s.services, name)
 		}
 	}
-	s.regroup()
+	s.groupServers()
 }
 
-// SetAccounts takes over the configuration's quotas.
+// SetAccounts applies the configured quotas.
 func (s *Scheduler) SetAccounts(now Time, accounts []Account) {
 	s.quotas = accounts
-	kept := map[string]*bucket{}
+	buckets := map[string]*bucket{}
 	for _, a := range accounts {
 		if a.Rate <= 0 {
 			continue
@@ -62,13 +63,13 @@
 		} else {
 			b.resize(now, rate, burst)
 		}
-		kept[a.Name] = b
+		buckets[a.Name] = b
 	}
-	s.accounts = kept
+	s.accounts = buckets
 }
 
-// SetServers takes over the list of backend servers. What is known of those
-// that stay is kept; runs at those that are gone end by themselves.
+// SetServers applies a new list of backend servers. The state of servers that stay listed is
+// preserved; runs at removed servers end by themselves.
 func (s *Scheduler) SetServers(now Time, list []Server) {
 	listed := map[string]bool{}
 	for _, spec := range list {
@@ -80,38 +81,40 @@
 				svc = &service{Service: Service{Name: spec.Service}, versions: s.versionsOf(spec.Service)}
 			}
 			s.servers[spec.ID] = newServer(now, spec, svc, s.policy.TimeOut)
-			s.servers[spec.ID].lot = lot(s.owner, spec.ID)
-			s.heed(now, s.servers[spec.ID])
+			s.servers[spec.ID].hashFraction = hashFraction(s.owner, spec.ID)
+			s.applyNotice(now, s.servers[spec.ID])
 			continue
 		}
-		have.leaves = have.leaves || spec.Draining
+		have.leaving = have.leaving || spec.Draining
 		spec.Draining = spec.Draining || have.Draining && spec.Address == have.Address
 		have.Server = spec
 	}
 	for id, srv := range s.servers {
 		if !listed[id] {
-			s.ended(now, srv)
-			s.endedIdle(now, srv)
-			srv.leaves = true // some servers go on for a while, and cut off what lasts longer
+			s.recordEnd(now, srv)
+			s.recordIdleEnd(now, srv)
+			srv.leaving = true // some unlisted servers run on for a while, then cut off long runs
 			delete(s.servers, id)
 		}
 	}
 	s.forgetNotices(now)
-	s.regroup()
+	s.groupServers()
 }
 
-// SetOwner names the host that runs this scheduler. It comes before servers.
+// SetOwner sets the incarnation of the host that runs this scheduler. It is called before
+// SetServers.
 func (s *Scheduler) SetOwner(incarnation uint64) { s.owner = incarnation }
 
-// lot is a number from 0 to 1 that differs between hosts and servers.
-func lot(owner uint64, server string) float64 {
+// hashFraction returns a number from 0 to 1 that depends on the host and the server.
+func hashFraction(owner uint64, server string) float64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(server) // never fails
 	_, _ = d.Write(binary.BigEndian.AppendUint64(nil, owner))
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-func (s *Scheduler) regroup() {
+// groupServers assigns the listed servers to their services and splits them by version.
+func (s *Scheduler) groupServers() {
 	byService := map[string][]*server{}
 	for _, srv := range s.servers {
 		byService[srv.Service] = append(byService[srv.Service], srv)
@@ -122,7 +125,7 @@
 		for _, srv := range all {
 			srv.cache.capacity = svc.KVTokens
 		}
-		svc.servers, svc.onTrial = svc.versions.sort(all)
+		svc.servers, svc.onTrial = svc.versions.partition(all)
 		svc.typical = 0
 	}
 }
--- a/internal/sched/notices.go
+++ b/internal/sched/notices.go
@@ -8,41 +8,41 @@
 	"github.com/gentianflow/gentianflow/internal/notice"
 )
 
-// heardNotice is what a server says of itself, and when that was heard.
-type heardNotice struct {
+// serverNotice is what a server last stated about itself, and when it did.
+type serverNotice struct {
 	notice.Notice
 	at Time
 }
 
-// LearnNotices takes what servers say of themselves, on the word of a host, and returns what
-// is new. A rest is asked of that host alone.
+// LearnNotices applies server notices reported by a holder and returns what changed. A
+// backoff applies to that holder only.
 func (s *Scheduler) LearnNotices(now Time, holder uint64, records []notice.Record) (changes []notice.Change) {
-	left := false
+	newlyLeaving := false
 	for _, r := range records {
-		s.rest(now, holder, r)
+		s.applyBackoff(now, holder, r)
 		r.Rest = 0
 		known := s.notices[r.Server]
-		said := known.or(heardNotice{r.Notice, now - r.Age})
-		s.notices[r.Server] = said
-		if said.Notice == known.Notice {
+		merged := known.merge(serverNotice{r.Notice, now - r.Age})
+		s.notices[r.Server] = merged
+		if merged.Notice == known.Notice {
 			continue
 		}
-		change := notice.Change{Server: r.Server, Before: known.Notice, After: said.Notice}
+		change := notice.Change{Server: r.Server, Before: known.Notice, After: merged.Notice}
 		changes = append(changes, change)
 		if srv := s.servers[r.Server]; srv != nil {
-			s.heed(now, srv)
-			left = left || change.Leaves()
+			s.applyNotice(now, srv)
+			newlyLeaving = newlyLeaving || change.Leaves()
 		}
 	}
-	if left {
-		s.regroup() // what is left may be of another version
+	if newlyLeaving {
+		s.groupServers() // the remaining servers may be of another version
 	}
 	return changes
 }
 
-// or joins two words of one server: the newer one counts, but for that it leaves, which is
-// never out of date.
-func (n heardNotice) or(other heardNotice) heardNotice {
+// merge combines two notices of one server. The newer one wins, except that Leaving is final:
+// it holds if either notice has it.
+func (n serverNotice) merge(other serverNotice) serverNotice {
 	newest := n
 	if other.at >= n.at {
 		newest = other
@@ -51,50 +51,51 @@
 	return newest
 }
 
-// rest keeps requests of a holder from a server for as long as that wants none.
-func (s *Scheduler) rest(now Time, holder uint64, r notice.Record) {
+// applyBackoff keeps a holder's requests from a server for the backoff that the server asked
+// for.
+func (s *Scheduler) applyBackoff(now Time, holder uint64, r notice.Record) {
 	srv := s.servers[r.Server]
 	if srv == nil || r.Rest <= 0 {
 		return
 	}
-	if srv.rests == nil {
-		srv.rests = map[uint64]Time{}
+	if srv.backoffs == nil {
+		srv.backoffs = map[uint64]Time{}
 	}
-	maps.DeleteFunc(srv.rests, func(_ uint64, until Time) bool { return now >= until })
-	srv.rests[holder] = max(srv.rests[holder], now+min(r.Rest, notice.MaxRest))
+	maps.DeleteFunc(srv.backoffs, func(_ uint64, until Time) bool { return now >= until })
+	srv.backoffs[holder] = max(srv.backoffs[holder], now+min(r.Rest, notice.MaxRest))
 }
 
-// allRest reports whether each usable server of svc that w may be sent to has asked its holder
-// for rest, for longer than w may wait.
-func (s *Scheduler) allRest(now Time, svc *service, w *waiting) bool {
-	longest := now + time.Duration(float64(w.Deadline-w.Arrived)*s.policy.WaitShare)
-	some := false
+// allBackedOff reports whether every usable server that w may be sent to has asked its holder
+// to back off for longer than w may wait.
+func (s *Scheduler) allBackedOff(now Time, svc *service, w *waiting) bool {
+	latest := now + time.Duration(float64(w.Deadline-w.Arrived)*s.policy.WaitShare)
+	found := false
 	for _, srv := range svc.servers {
 		if !srv.usable(now) || slices.Contains(w.Avoid, srv.ID) {
 			continue
 		}
-		if srv.rests[w.Holder] <= longest {
+		if srv.backoffs[w.Holder] <= latest {
 			return false
 		}
-		some = true
+		found = true
 	}
-	return some
+	return found
 }
 
-// heed applies what srv says of itself to its sends.
-func (s *Scheduler) heed(now Time, srv *server) {
-	said := s.notices[srv.ID]
-	if said.Leaving {
-		srv.Draining, srv.leaves = true, true
+// applyNotice applies the notice of srv: whether it is draining, and its rate limit.
+func (s *Scheduler) applyNotice(now Time, srv *server) {
+	current := s.notices[srv.ID]
+	if current.Leaving {
+		srv.Draining, srv.leaving = true, true
 	}
-	if !said.Limit.Named {
+	if !current.Limit.Named {
 		srv.pacer = pacer{}
 		return
 	}
-	srv.pacer.limit(now, max(said.Limit.PerSecond, leastLimit)*s.share.Sends, srv.lot)
+	srv.pacer.limit(now, max(current.Limit.PerSecond, leastLimit)*s.share.Sends, srv.hashFraction)
 }
 
-// forgetNotices drops what is known of servers that are not listed, after a while.
+// forgetNotices drops old notices of servers that are not listed.
 func (s *Scheduler) forgetNotices(now Time) {
 	for id, n := range s.notices {
 		if s.servers[id] == nil && now-n.at > notice.KeptUnlisted {
@@ -103,7 +104,7 @@
 	}
 }
 
-// Limited counts the servers that name a limit.
+// Limited returns the number of servers with a stated rate limit.
 func (s *Scheduler) Limited() (n int) {
 	for _, srv := range s.servers {
 		if srv.pacer.limited() {
--- a/internal/sched/ownfault.go
+++ b/internal/sched/ownfault.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// faultMemory is how long a failure of a request is remembered: longer than its caller
-	// takes to come again.
-	faultMemory = 2 * time.Minute
-	// maxFaults bounds the requests whose failures are remembered, 100 bytes each.
-	maxFaults = 2048
+	// requestFailureMemory is how long a failure of a request is remembered: longer than a
+	// caller takes to retry.
+	requestFailureMemory = 2 * time.Minute
+	// maxRequestFailures bounds the remembered requests, at 100 bytes each.
+	maxRequestFailures = 2048
 )
 
-// fault is what is known of a request's failures.
-type fault struct {
-	server string // of the first
-	at     Time   // of the newest
-	own    bool   // it has failed at two servers
+// requestFailure is the failure history of one request.
+type requestFailure struct {
+	server  string // of the first failure
+	at      Time   // of the latest failure
+	atFault bool   // it has failed at a second server
 }
 
-// faults remembers requests that failed lately.
+// requestFailures remembers requests that failed recently, to tell faulty requests from faulty
+// servers.
 //
-// Guard: a request that every server breaks off or answers with a failure made each server
-// look like a faulty one: one caller that sent such a body a few times a second had all
-// servers of the service taken out in turn, and others were refused. One that fails at a
-// second server, and has succeeded nowhere, is at fault itself.
-type faults struct {
-	recent *simplelru.LRU[quarantine.Fingerprint, fault]
+// A request that fails at every server makes each server look faulty: one caller that sent
+// such a body a few times per second had all servers of the service ejected in turn, and
+// other callers were refused. A request that fails at a second server, and has succeeded at
+// none, is at fault itself.
+type requestFailures struct {
+	recent *simplelru.LRU[quarantine.Fingerprint, requestFailure]
 }
 
-func newFaults() faults {
-	recent, err := simplelru.NewLRU[quarantine.Fingerprint, fault](maxFaults, nil)
+func newRequestFailures() requestFailures {
+	recent, err := simplelru.NewLRU[quarantine.Fingerprint, requestFailure](maxRequestFailures, nil)
 	if err != nil {
 		panic(err) // only for a size below 1
 	}
-	return faults{recent}
+	return requestFailures{recent}
 }
 
-// own notes how a run ended and reports whether its failure is the request's own.
-func (f faults) own(now Time, request quarantine.Fingerprint, server string, result Result) bool {
+// recordOutcome records how a run of a request ended and reports whether the failure is
+// attributed to the request rather than to the server.
+func (f requestFailures) recordOutcome(now Time, request quarantine.Fingerprint, server string, result Result) bool {
 	if !request.Known() {
 		return false
 	}
@@ -55,11 +57,11 @@
 		return false
 	}
 	known, failed := f.recent.Get(request)
-	if !failed || now-known.at >= faultMemory {
-		known = fault{server: server}
+	if !failed || now-known.at >= requestFailureMemory {
+		known = requestFailure{server: server}
 	}
 	known.at = now
-	known.own = known.own || known.server != server
+	known.atFault = known.atFault || known.server != server
 	f.recent.Add(request, known)
-	return known.own
+	return known.atFault
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	s.place(now, svc, srv, w)
-	o.taken(now, svc, srv, srv.room(now, s.places(svc, srv)))
+	o.taken(now, svc, srv, srv.hasRoom(now, s.places(svc, srv)))
 	return true
 }
 
@@ -48,7 +48,7 @@
 func (s *Scheduler) withRoom(now Time, svc *service) []*server {
 	var free []*server
 	for _, srv := range svc.servers {
-		if srv.room(now, s.places(svc, srv)) {
+		if srv.hasRoom(now, s.places(svc, srv)) {
 			free = append(free, srv)
 		}
 	}
@@ -68,7 +68,7 @@
 		first := l.fresh[:min(len(l.fresh), s.policy.ChoosesFrom)]
 		for _, w := range first {
 			w.order = w.rank - s.missCost(free[0].cache.held(w.Parts))
-			if free[0].kept.has(now, w.Holder) {
+			if free[0].idleConnections.has(now, w.Holder) {
 				w.order -= s.policy.ConnectCost
 			}
 		}
@@ -93,7 +93,7 @@
 	}
 	share := s.policy.Cap * s.share.Servers * slots
 	n := int(share)
-	if srv.lot < share-float64(n) || n == 0 && srv.pacer.limited() {
+	if srv.hashFraction < share-float64(n) || n == 0 && srv.pacer.limited() {
 		n++
 	}
 	return n
@@ -115,7 +115,7 @@
 		return nil
 	}
 	for _, srv := range o.free {
-		if !srv.open(now, r) || !srv.hasMemory(svc, r) || s.keptApart(srv, r) {
+		if !srv.eligible(now, r) || !srv.hasMemory(svc, r) || s.hasConflictingSuspect(srv, r) {
 			continue
 		}
 		fits := need.met(now, svc, srv, r)
@@ -147,7 +147,7 @@
 	}
 	// A server that names a limit gets too little for connections to be kept, and only its
 	// answers tell that it takes more.
-	if !srv.kept.has(now, r.Holder) && !srv.pacer.limited() {
+	if !srv.idleConnections.has(now, r.Holder) && !srv.pacer.limited() {
 		c += s.policy.ConnectCost
 	}
 	if svc.Engine {
@@ -177,12 +177,12 @@
 	if v := svc.versions; v.trial != nil {
 		v.trial.Reached(srv.Version == v.order.To)
 	}
-	placed.class, placed.counted = w.class, true
+	placed.class, placed.countedAsServed = w.class, true
 	s.runs[w.Key] = placed
-	s.countCopy(w.Fingerprint, 1)
+	s.addCopies(w.Fingerprint, 1)
 	if s.suspects.Recurrent(w.Fingerprint) {
-		placed.trial = true
-		srv.trials++
+		placed.isolated = true
+		srv.isolatedRuns++
 		svc.tried = now
 	}
 	s.out = append(s.out, Decision{Key: w.Key, Server: srv.ID, Address: srv.Address, Waited: now - w.asked})
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -57,7 +57,7 @@
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
 		Expect(s.servers["e0"].running).To(Equal(2))
-		s.servers["e0"].prefillFree, s.servers["e1"].prefillFree = 0, 0
+		s.servers["e0"].prefillFreeAt, s.servers["e1"].prefillFreeAt = 0, 0
 		return s
 	}
 	ask := func(id uint64, prompt int) Request {
@@ -83,7 +83,7 @@
 		s := fastAndSlow()
 		out, _ := s.Submit(0, ask(3, 500))
 		Expect(out[0].Server).To(Equal("e1"))
-		s.servers["e1"].prefillFree = 0
+		s.servers["e1"].prefillFreeAt = 0
 		_, waits := s.Submit(0, ask(4, 12_000)) // 0.62 s to read on the slow one
 		Expect(waits).To(BeTrue())
 		out = finish(s, 50*ms, 3, OK)
@@ -103,7 +103,7 @@
 		Expect(s.servers["e0"].running).To(Equal(3))
 		out, _ := s.Submit(0, ask(4, 500))
 		Expect(out[0].Server).To(Equal("e1"))
-		s.servers["e1"].prefillFree = 400 * ms
+		s.servers["e1"].prefillFreeAt = 400 * ms
 		_, waits := s.Submit(0, ask(5, 4000))
 		Expect(waits).To(BeTrue())
 		out, _ = s.Submit(390*ms, ask(6, 100))
@@ -137,7 +137,7 @@
 		out, _ := s.Submit(0, from(2, 1, 0))
 		kept := out[0].Server
 		end(s, 10*ms, 2, 1)
-		s.servers[kept].prefillFree = 50 * ms // another would be a little sooner
+		s.servers[kept].prefillFreeAt = 50 * ms // another would be a little sooner
 		out, _ = s.Submit(20*ms, from(3, 2, 20*ms))
 		Expect(out[0].Server).NotTo(Equal(kept), "another holder has no connection there")
 		out, _ = s.Submit(20*ms, from(2, 3, 20*ms))
@@ -146,7 +146,7 @@
 		Expect(out[0].Server).NotTo(Equal(kept), "the connection is in use")
 		end(s, 40*ms, 2, 3)
 		later := keptFor + time.Second
-		s.servers[kept].prefillFree = later + 50*ms
+		s.servers[kept].prefillFreeAt = later + 50*ms
 		out, _ = s.Submit(later, from(2, 5, later))
 		Expect(out[0].Server).NotTo(Equal(kept), "it is closed by now")
 	})
--- a/internal/sched/reading.go
+++ b/internal/sched/reading.go
@@ -10,8 +10,8 @@
 // against what it took. Pauses and long queues make outliers, so a sample moves the
 // share by its logarithm, and by a bounded part.
 func (svc *service) learnReading(r *run, first time.Duration) {
-	predicted := r.first
-	r.first = 0
+	predicted := r.predictedFirst
+	r.predictedFirst = 0
 	if !svc.Engine || predicted < learnsFrom {
 		return
 	}
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -7,40 +7,39 @@
 	"github.com/gentianflow/gentianflow/internal/rollout"
 )
 
-// versions tells which servers of a service may be given requests, by the version of their
-// software.
+// versions decides by software version which servers of a service get requests.
 type versions struct {
-	// current are those that the service runs. Empty until servers are listed.
-	current map[string]bool
-	most    int // servers of them that were listed at once
-	// order is the newest one for the service, nil when there is none.
+	// current are the versions in service. Empty until servers are listed.
+	current   map[string]bool
+	maxListed int // largest number of listed servers of the current versions
+	// order is the newest roll-out order for the service, nil if there is none.
 	order *rollout.Order
-	// standing is how far it got, as far as this scheduler knows.
-	standing standing
-	// trial is set while this scheduler carries the roll-out.
+	// phase is the phase of order, as far as this scheduler knows.
+	phase orderPhase
+	// trial is set while this scheduler runs the roll-out.
 	trial *rollout.Trial
-	// back are versions that were taken back and not ordered again.
-	back map[string]bool
+	// rolledBack are versions that were rolled back and not ordered again.
+	rolledBack map[string]bool
 }
 
-// standing is how far an order got.
-type standing uint8
+// orderPhase is the phase of a roll-out order.
+type orderPhase uint8
 
 const (
-	// unread: the order is known, and not yet whether it was carried out.
-	unread standing = iota
-	trying
-	moving
-	moved
-	takenBack
+	// phaseUnknown: the order is known, but not how far it was carried out.
+	phaseUnknown orderPhase = iota
+	phaseTrying
+	phaseMoving
+	phaseMoved
+	phaseRolledBack
 )
 
-// replacedFrom is the part of a version's servers that must be left for servers of a
-// version that no order names to wait.
-const replacedFrom = 0.5
+// minRemainingShare is the share of the servers of the current versions above which servers
+// of a version without an order get no requests.
+const minRemainingShare = 0.5
 
-// SetOrder takes an operator's order to move a service to a version. Until StartTrial or
-// SettleOrder tells how far it got, servers of that version get nothing.
+// SetOrder records an operator's order to move a service to a version. Servers of that version
+// get no requests until StartTrial or SettleOrder sets the phase of the order.
 func (s *Scheduler) SetOrder(o rollout.Order) {
 	v := s.versionsOf(o.Service)
 	if v.order != nil && v.order.Row >= o.Row {
@@ -49,30 +48,31 @@
 	if v.trial != nil {
 		v.trial.Replace()
 	}
-	v.order, v.standing, v.trial = &o, unread, nil
-	delete(v.back, o.To)
+	v.order, v.phase, v.trial = &o, phaseUnknown, nil
+	delete(v.rolledBack, o.To)
 	if v.current[o.To] && len(v.current) > 1 {
-		delete(v.current, o.To) // it was taken in with others before its order came
+		delete(v.current, o.To) // it was accepted with other versions before it was ordered
 	}
-	s.regroup()
+	s.groupServers()
 }
 
-// StartTrial has this scheduler carry out an order that was given some time ago.
+// StartTrial makes this scheduler carry out an order that was given the duration ago before
+// now.
 func (s *Scheduler) StartTrial(now Time, o rollout.Order, ago time.Duration, resumed bool) {
 	v := s.versionsOf(o.Service)
 	if v.order == nil || v.order.Row != o.Row || v.trial != nil {
 		return
 	}
 	v.trial = rollout.NewTrial(now, o, ago, s.bounds, resumed)
-	v.standing = trying
+	v.phase = phaseTrying
 	if v.current[o.To] {
 		v.trial.Skip()
-		v.standing = moving
+		v.phase = phaseMoving
 	}
-	s.regroup()
+	s.groupServers()
 }
 
-// SettleOrder tells how far an order got, on the word of the store or of the home.
+// SettleOrder sets the phase of an order as reported by the store or by the home.
 func (s *Scheduler) SettleOrder(o rollout.Order, p rollout.Phase) {
 	v := s.versionsOf(o.Service)
 	if v.order == nil || v.order.Row != o.Row {
@@ -80,61 +80,61 @@
 	}
 	switch p {
 	case rollout.Moved:
-		v.standing, v.trial = moved, nil
-		v.current, v.most = map[string]bool{o.To: true}, 0
+		v.phase, v.trial = phaseMoved, nil
+		v.current, v.maxListed = map[string]bool{o.To: true}, 0
 	case rollout.TakenBack:
-		v.standing, v.trial = takenBack, nil
-		v.back[o.To] = true
+		v.phase, v.trial = phaseRolledBack, nil
+		v.rolledBack[o.To] = true
 		delete(v.current, o.To)
 	case rollout.Moving:
-		v.standing = moving
+		v.phase = phaseMoving
 	default:
-		v.standing = trying
+		v.phase = phaseTrying
 	}
-	s.regroup()
+	s.groupServers()
 }
 
-// Settled lists how far each order got, as far as this scheduler knows.
+// Settled lists the orders whose phase this scheduler knows.
 func (s *Scheduler) Settled() []rollout.Standing {
-	phases := map[standing]rollout.Phase{trying: rollout.Trying, moving: rollout.Moving, moved: rollout.Moved, takenBack: rollout.TakenBack}
+	phases := map[orderPhase]rollout.Phase{phaseTrying: rollout.Trying, phaseMoving: rollout.Moving, phaseMoved: rollout.Moved, phaseRolledBack: rollout.TakenBack}
 	var out []rollout.Standing
 	for _, v := range s.versions {
-		if v.order != nil && v.standing != unread {
-			out = append(out, rollout.Standing{Order: *v.order, Phase: phases[v.standing]})
+		if v.order != nil && v.phase != phaseUnknown {
+			out = append(out, rollout.Standing{Order: *v.order, Phase: phases[v.phase]})
 		}
 	}
 	return out
 }
 
-// DropTrials ends what this scheduler carries: another one leads.
+// DropTrials stops running trials, because another scheduler takes over.
 func (s *Scheduler) DropTrials() {
 	for _, v := range s.versions {
 		if v.trial != nil {
 			v.trial = nil
 		}
 	}
-	s.regroup()
+	s.groupServers()
 }
 
-// Hold has an operator pause a trial, end the pause or take the version back.
+// Hold applies an operator's wish to pause or resume a trial or to roll the version back.
 func (s *Scheduler) Hold(service string, wish rollout.Wish) {
 	v := s.versions[service]
 	if v == nil || v.trial == nil {
 		return
 	}
 	if v.trial.Obey(wish) {
-		s.rolloutStepped(v)
+		s.recordRolloutStep(v)
 	}
 }
 
-// RolloutNews lists the trials that took a step since it was called last.
+// RolloutNews returns the steps that trials took since the last call.
 func (s *Scheduler) RolloutNews() []rollout.Standing {
-	news := s.rollouts
+	steps := s.rollouts
 	s.rollouts = nil
-	return news
+	return steps
 }
 
-// Rollouts lists the trials that this scheduler carries.
+// Rollouts lists the trials that this scheduler runs.
 func (s *Scheduler) Rollouts() []rollout.Standing {
 	var out []rollout.Standing
 	for _, v := range s.versions {
@@ -145,85 +145,86 @@
 	return out
 }
 
-// SetBounds sets what a version on trial may get.
+// SetBounds limits the requests that a version on trial gets.
 func (s *Scheduler) SetBounds(b rollout.Bounds) { s.bounds = b }
 
 func (s *Scheduler) versionsOf(service string) *versions {
 	v := s.versions[service]
 	if v == nil {
-		v = &versions{current: map[string]bool{}, back: map[string]bool{}}
+		v = &versions{current: map[string]bool{}, rolledBack: map[string]bool{}}
 		s.versions[service] = v
 	}
 	return v
 }
 
-// rolloutStepped takes in a step of a trial.
-func (s *Scheduler) rolloutStepped(v *versions) {
+// recordRolloutStep applies the phase that a trial has reached.
+func (s *Scheduler) recordRolloutStep(v *versions) {
 	switch v.trial.Phase() {
 	case rollout.Moving:
-		v.standing = moving
+		v.phase = phaseMoving
 	case rollout.TakenBack:
-		v.standing = takenBack
-		v.back[v.order.To] = true
+		v.phase = phaseRolledBack
+		v.rolledBack[v.order.To] = true
 	case rollout.Moved:
-		v.standing = moved
-		v.current, v.most = map[string]bool{v.order.To: true}, 0
+		v.phase = phaseMoved
+		v.current, v.maxListed = map[string]bool{v.order.To: true}, 0
 	default:
-		v.standing = trying
+		v.phase = phaseTrying
 	}
 	s.rollouts = append(s.rollouts, v.trial.Standing())
-	s.regroup()
+	s.groupServers()
 }
 
-// sort puts the servers of a service into those that serve and those on trial.
+// partition splits the servers of a service into those that serve and those on trial.
 //
-// Guard: servers of a new version register before the order for it is read, or without one.
-// Were they given requests at once, a bad version would get its even part of the traffic
-// before anybody judges it. They wait while the version that runs has its servers; where
-// these are replaced one after the other, the new ones are taken in.
-func (v *versions) sort(all []*server) (serving, onTrial []*server) {
-	v.takeIn(all)
+// Servers of a new version register before the order for it is read, or without an order. If
+// they got requests at once, a bad version would receive a full share of the traffic before
+// its trial. They get none while the current versions have their servers; when those servers
+// are replaced one by one, the new version is accepted.
+func (v *versions) partition(all []*server) (serving, onTrial []*server) {
+	v.updateCurrent(all)
 	for _, srv := range all {
 		switch {
 		case v.serves(srv.Version):
 			serving = append(serving, srv)
-		case v.order != nil && srv.Version == v.order.To && v.standing == trying:
+		case v.order != nil && srv.Version == v.order.To && v.phase == phaseTrying:
 			onTrial = append(onTrial, srv)
 		}
 	}
 	if slices.ContainsFunc(serving, func(srv *server) bool { return !srv.Draining }) {
 		return serving, onTrial
 	}
-	// Nothing else is left that could serve callers.
-	return slices.DeleteFunc(slices.Clone(all), func(srv *server) bool { return v.back[srv.Version] }), nil
+	// No other server is left to serve callers.
+	return slices.DeleteFunc(slices.Clone(all), func(srv *server) bool { return v.rolledBack[srv.Version] }), nil
 }
 
-// serves reports whether servers of a version get requests without a trial.
+// serves reports whether servers of a version get requests outside a trial.
 func (v *versions) serves(version string) bool {
-	if v.order == nil || v.standing != moving {
+	if v.order == nil || v.phase != phaseMoving {
 		return v.current[version]
 	}
 	return version == v.order.To
 }
 
-// takeIn decides which versions the service runs.
-func (v *versions) takeIn(all []*server) {
+// updateCurrent accepts the listed versions into current once the servers of the current
+// versions are mostly gone.
+func (v *versions) updateCurrent(all []*server) {
 	counts := map[string]int{}
 	for _, srv := range all {
-		if !srv.Draining && !v.back[srv.Version] {
+		if !srv.Draining && !v.rolledBack[srv.Version] {
 			counts[srv.Version]++
 		}
 	}
 	ordered := ""
-	if v.order != nil && v.standing != moved {
+	if v.order != nil && v.phase != phaseMoved {
 		ordered = v.order.To
 	}
 	n := 0
 	for version := range v.current {
 		n += counts[version]
 	}
-	v.most = max(v.most, n)
-	if len(v.current) > 0 && float64(n) > replacedFrom*float64(v.most) {
+	v.maxListed = max(v.maxListed, n)
+	if len(v.current) > 0 && float64(n) > minRemainingShare*float64(v.maxListed) {
 		return
 	}
 	for version := range counts {
@@ -233,9 +234,9 @@
 	}
 }
 
-// fillTrial gives the server whose turn it is what may be tried there.
+// fillTrial places waiting requests at the next trial servers, as far as the trial allows.
 func (s *Scheduler) fillTrial(now Time, svc *service) {
-	target := s.trialServer(now, svc)
+	target := s.nextTrialServer(now, svc)
 	if target == nil || svc.queue.size == 0 {
 		return
 	}
@@ -243,38 +244,38 @@
 		if target == nil {
 			return false, true
 		}
-		if !s.tryNew(now, svc, target, w) {
+		if !s.placeOnTrial(now, svc, target, w) {
 			return false, false
 		}
-		target = s.trialServer(now, svc)
+		target = s.nextTrialServer(now, svc)
 		return true, target == nil
 	})
 }
 
-// offerTrial gives w, which has just come, to the server whose turn it is, if it may be
-// tried, and reports whether it did.
+// offerTrial places w, which has just arrived, at the next trial server, if the trial allows,
+// and reports whether it did.
 func (s *Scheduler) offerTrial(now Time, svc *service, w *waiting) bool {
-	target := s.trialServer(now, svc)
-	return target != nil && s.tryNew(now, svc, target, w)
+	target := s.nextTrialServer(now, svc)
+	return target != nil && s.placeOnTrial(now, svc, target, w)
 }
 
-// trialServer is the server of a version on trial whose turn it is, nil for none.
-func (s *Scheduler) trialServer(now Time, svc *service) *server {
+// nextTrialServer returns the server on trial that gets the next request, nil for none.
+func (s *Scheduler) nextTrialServer(now Time, svc *service) *server {
 	if svc.versions.trial == nil || len(svc.onTrial) == 0 {
 		return nil
 	}
 	var free []rollout.Candidate
 	for _, srv := range svc.onTrial {
-		if srv.room(now, s.places(svc, srv)) {
+		if srv.hasRoom(now, s.places(svc, srv)) {
 			free = append(free, rollout.Candidate{Server: srv.ID, Slots: srv.Slots})
 		}
 	}
 	return s.servers[svc.versions.trial.Turn(now, free)]
 }
 
-// tryNew places w at a server of a version on trial, if it may be tried, and reports
-// whether it did. One that was sent before is not: its caller has waited for one failure.
-func (s *Scheduler) tryNew(now Time, svc *service, srv *server, w *waiting) bool {
+// placeOnTrial places w at a server on trial, if the trial allows, and reports whether it did.
+// Retries are excluded: their callers have already waited for one failure.
+func (s *Scheduler) placeOnTrial(now Time, svc *service, srv *server, w *waiting) bool {
 	r := &w.Request
 	if r.Repeat || !svc.versions.trial.Wants(r.Route) || !srv.hasMemory(svc, r) ||
 		s.quotaWait(now, r) > 0 || s.suspects.Has(r.Fingerprint) {
@@ -285,12 +286,10 @@
 	return true
 }
 
-// offerNew places w, which may not be cut off, at a server of a version on trial when it
-// would last on an old one for longer than that is to run.
-//
-// Guard: the old servers stop the moment that the roll-out is completed, with what they
-// run.
-func (s *Scheduler) offerNew(now Time, svc *service, w *waiting) bool {
+// offerNewVersion places w, which may not be interrupted, at a server on trial if at an old
+// server it would run past the end of the roll-out. Old servers stop as soon as the roll-out
+// completes, and their runs with them.
+func (s *Scheduler) offerNewVersion(now Time, svc *service, w *waiting) bool {
 	trial := svc.versions.trial
 	if trial == nil || w.Repeatable || w.Repeat || !trial.MayTake() {
 		return false
@@ -300,7 +299,7 @@
 		return false
 	}
 	for _, srv := range svc.onTrial {
-		if srv.room(now, s.places(svc, srv)) && srv.hasMemory(svc, &w.Request) && s.quotaWait(now, &w.Request) == 0 {
+		if srv.hasRoom(now, s.places(svc, srv)) && srv.hasMemory(svc, &w.Request) && s.quotaWait(now, &w.Request) == 0 {
 			s.place(now, svc, srv, w)
 			return true
 		}
@@ -308,8 +307,8 @@
 	return false
 }
 
-// passTrials lets time pass for the trials.
-func (s *Scheduler) passTrials(now Time) {
+// advanceTrials advances the trials to now.
+func (s *Scheduler) advanceTrials(now Time) {
 	for _, v := range s.versions {
 		if v.trial == nil {
 			continue
@@ -318,14 +317,14 @@
 		if svc == nil {
 			continue
 		}
-		if v.trial.Pass(now, s.ordered(v)) || s.oldIsEmpty(v) && v.trial.Empty() {
-			s.rolloutStepped(v)
+		if v.trial.Pass(now, s.countOrdered(v)) || s.oldVersionIdle(v) && v.trial.Empty() {
+			s.recordRolloutStep(v)
 		}
 	}
 }
 
-// ordered counts the servers of the version that is ordered.
-func (s *Scheduler) ordered(v *versions) (n int) {
+// countOrdered returns the number of servers of the ordered version.
+func (s *Scheduler) countOrdered(v *versions) (n int) {
 	for _, srv := range s.servers {
 		if srv.Service == v.order.Service && srv.Version == v.order.To {
 			n++
@@ -334,9 +333,9 @@
 	return n
 }
 
-// oldIsEmpty reports whether no server of another version than the one ordered runs what
-// may not be cut off.
-func (s *Scheduler) oldIsEmpty(v *versions) bool {
+// oldVersionIdle reports whether no server outside the ordered version has a run that may
+// not be interrupted.
+func (s *Scheduler) oldVersionIdle(v *versions) bool {
 	for _, r := range s.runs {
 		if r.req.Service == v.order.Service && r.server.Version != v.order.To && !r.req.Repeatable {
 			return false
@@ -345,7 +344,7 @@
 	return true
 }
 
-// learnVersion takes in what a run tells of its server's version.
+// learnVersion passes the outcome of a run to the trial of its service.
 func (s *Scheduler) learnVersion(now Time, r *run, o Outcome) {
 	svc := s.services[r.req.Service]
 	if svc == nil || svc.versions.trial == nil || r.req.Route == "" {
@@ -357,20 +356,21 @@
 		return
 	}
 	sample, ok := s.sample(now, svc, r, o)
-	if ok && v.trial.Learn(now, sample, s.ordered(v)) {
-		s.rolloutStepped(v)
+	if ok && v.trial.Learn(now, sample, s.countOrdered(v)) {
+		s.recordRolloutStep(v)
 	}
 }
 
-// sample is what the end of a run tells of a version, ok when it tells anything. What ends
-// with its server, and what the request itself is the cause of, does not.
+// sample converts the outcome of a run into a sample for the trial; ok is false if the outcome
+// says nothing about the version. That is so for runs that ended with their server, and for
+// failures of requests suspected of ending servers.
 func (s *Scheduler) sample(now Time, svc *service, r *run, o Outcome) (out rollout.Sample, ok bool) {
 	out = rollout.Sample{Route: r.req.Route, Server: r.server.ID, New: r.server.Version == svc.versions.order.To}
 	typical := svc.typicalTokenTime()
-	usual := svc.firstAt(typical, r.req)
+	expected := svc.firstAt(typical, r.req)
 	switch o.Result {
 	case OK:
-		out.Took = float64(o.First) / float64(usual)
+		out.Took = float64(o.First) / float64(expected)
 		if o.Pace > 0 {
 			out.Took = float64(o.Pace) / float64(typical)
 		}
@@ -379,12 +379,12 @@
 		out.Failed = true
 		return out, !s.suspects.Has(r.req.Fingerprint)
 	case Left:
-		out.Took = float64(now-r.placed) / float64(usual)
-		return out, o.First == 0 && out.Took > leftSlow
+		out.Took = float64(now-r.placed) / float64(expected)
+		return out, o.First == 0 && out.Took > abandonedSlowFactor
 	}
 	return out, false
 }
 
-// leftSlow is how many times the usual a caller must have waited for a first event, or a
-// whole plain answer, for its leaving to be held against the server.
-const leftSlow = 4
+// abandonedSlowFactor is the multiple of the expected time to the first event, or to the whole
+// answer of a plain call, after which a caller's disconnect counts against the version.
+const abandonedSlowFactor = 4
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -10,20 +10,20 @@
 	"github.com/gentianflow/gentianflow/internal/rollout"
 )
 
-// versionDay is a plain service whose servers have versions.
-type versionDay struct {
+// versionDriver drives the scheduler of a plain service whose servers have versions.
+type versionDriver struct {
 	*Scheduler
 	next uint64
 }
 
-func newVersionDay() *versionDay {
-	d := &versionDay{Scheduler: New(DefaultPolicy())}
+func newVersionDriver() *versionDriver {
+	d := &versionDriver{Scheduler: New(DefaultPolicy())}
 	d.SetServices(0, []Service{{Name: "app"}})
 	return d
 }
 
-// list has so many servers of each version listed.
-func (d *versionDay) list(now Time, counts map[string]int) {
+// list lists the given number of servers of each version.
+func (d *versionDriver) list(now Time, counts map[string]int) {
 	var list []Server
 	for version, n := range counts {
 		for i := range n {
@@ -34,10 +34,11 @@
 	d.SetServers(now, list)
 }
 
-// used sends calls, of which some run at once, and tells which versions ran them.
-func (d *versionDay) used(now Time, calls int) map[string]int {
+// usedVersions sends calls, some of them concurrent, and counts them by the version that ran
+// them.
+func (d *versionDriver) usedVersions(now Time, calls int) map[string]int {
 	const atOnce = 5 // more than a server's slots
-	used := map[string]int{}
+	usedVersions := map[string]int{}
 	var open []Key
 	for i := range calls {
 		at := now + time.Duration(i)*ms
@@ -45,10 +46,10 @@
 		key := Key{Holder: 1, ID: d.next}
 		out, _ := d.Submit(at, Request{Key: key, Service: "app", Route: "r", Arrived: at, Aim: at + 100*ms, Deadline: at + time.Second})
 		if len(out) != 1 || out[0].Reason != 0 {
-			used["refused"]++
+			usedVersions["refused"]++
 			continue
 		}
-		used[d.servers[out[0].Server].Version]++
+		usedVersions[d.servers[out[0].Server].Version]++
 		if open = append(open, key); len(open) > atOnce {
 			d.Finish(at, Outcome{Key: open[0], Result: OK, First: 10 * ms})
 			open = open[1:]
@@ -57,65 +58,64 @@
 	for _, key := range open {
 		d.Finish(now+time.Duration(calls)*ms, Outcome{Key: key, Result: OK, First: 10 * ms})
 	}
-	return used
+	return usedVersions
 }
 
 var _ = Describe("servers of several versions", func() {
 	order := rollout.Order{Service: "app", To: "v2", Lasts: 10 * time.Second, Row: 5}
-	var d *versionDay
+	var d *versionDriver
 	BeforeEach(func() {
-		d = newVersionDay()
+		d = newVersionDriver()
 		d.list(0, map[string]int{"v1": 4})
 	})
 
-	It("get nothing of a version that nobody ordered, until they replace the others", func() {
+	It("get no requests for a version that nobody ordered until they replace the others", func() {
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
-		Expect(d.used(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
+		Expect(d.usedVersions(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 		d.list(2*time.Second, map[string]int{"v1": 1, "v2": 4})
-		Expect(d.used(2*time.Second, 100)).To(HaveKey("v2"))
+		Expect(d.usedVersions(2*time.Second, 100)).To(HaveKey("v2"))
 	})
 
-	It("serve when nothing else is left", func() {
+	It("serve when no others are left", func() {
 		d.list(time.Second, map[string]int{"v2": 2})
-		Expect(d.used(time.Second, 10)).To(Equal(map[string]int{"v2": 10}))
+		Expect(d.usedVersions(time.Second, 10)).To(Equal(map[string]int{"v2": 10}))
 	})
 
-	// Story: a host is alone in the middle of a roll-out. It knows neither how much was tried
-	// nor whether the version is bad.
-	It("get nothing of an ordered version from a host that does not carry the order", func() {
+	// A host that schedules alone during a roll-out knows neither how many requests the new
+	// version had nor whether it is bad.
+	It("get no requests for an ordered version from a host that does not run the roll-out", func() {
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
-		Expect(d.used(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
+		Expect(d.usedVersions(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 		d.SettleOrder(order, rollout.Trying)
-		Expect(d.used(2*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
+		Expect(d.usedVersions(2*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 		d.SettleOrder(order, rollout.Moved)
-		Expect(d.used(3*time.Second, 100)).To(Equal(map[string]int{"v2": 100}))
+		Expect(d.usedVersions(3*time.Second, 100)).To(Equal(map[string]int{"v2": 100}))
 	})
 
-	// Story: a version was taken back, and the old servers end. Nothing may be sent to it, even
-	// if nobody is served.
-	It("get nothing of a version that was taken back", func() {
+	// After a roll-back the old servers end. Nothing may be sent to the version that was rolled
+	// back, even if all callers are refused.
+	It("get no requests for a version that was rolled back", func() {
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.SettleOrder(order, rollout.TakenBack)
-		Expect(d.used(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
+		Expect(d.usedVersions(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 		d.list(2*time.Second, map[string]int{"v2": 4})
-		Expect(d.used(2*time.Second, 10)).To(Equal(map[string]int{"refused": 10}))
+		Expect(d.usedVersions(2*time.Second, 10)).To(Equal(map[string]int{"refused": 10}))
 	})
 
-	It("get a small part of an ordered version from the home", func() {
+	It("get a small share of requests for an ordered version from the home", func() {
 		d.SetBounds(rollout.Bounds{Share: 0.1, Slack: 50})
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.StartTrial(time.Second, order, 0, false)
-		used := d.used(time.Second, 1000)
-		Expect(used["v2"]).To(BeNumerically(">", 0))
-		Expect(used["v2"]).To(BeNumerically("<=", 75), "half of a tenth and of the slack")
+		usedVersions := d.usedVersions(time.Second, 1000)
+		Expect(usedVersions["v2"]).To(BeNumerically(">", 0))
+		Expect(usedVersions["v2"]).To(BeNumerically("<=", 75), "half of a tenth and of the slack")
 	})
 
-	// Story: the operator thinks better of it and orders the version that runs, while the new
-	// one is tried.
-	It("are moved back at once by an order of the version that runs", func() {
+	// The operator orders the current version again while the new one is on trial.
+	It("are moved back at once by an order for the current version", func() {
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.StartTrial(time.Second, order, 0, false)
@@ -124,10 +124,10 @@
 		d.StartTrial(2*time.Second, back, 0, false)
 		d.Tick(2100 * ms)
 		Expect(d.RolloutNews()).To(ContainElement(And(HaveField("Order.To", "v1"), HaveField("Phase", rollout.Moved))))
-		Expect(d.used(3*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
+		Expect(d.usedVersions(3*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 	})
 
-	It("ignore an order that was read before", func() {
+	It("ignore an order that was already read", func() {
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.StartTrial(time.Second, order, 0, false)
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -22,11 +22,11 @@
 	orphans  int
 	suspects *quarantine.Table
 	lapse    time.Duration // how long after its end a server is listed, at most
-	faults   faults
+	faults   requestFailures
 	copies   map[quarantine.Fingerprint]int    // of runs
 	review   map[quarantine.Fingerprint]string // to be judged again, with their service
 	versions map[string]*versions              // by service
-	notices  map[string]heardNotice            // by server
+	notices  map[string]serverNotice           // by server
 	bounds   rollout.Bounds
 	rollouts []rollout.Standing // steps since RolloutNews
 	out      []Decision         // of the running call
@@ -67,8 +67,8 @@
 		policy: p, share: Share{Servers: 1, Limits: 1, Sends: 1},
 		services: map[string]*service{}, servers: map[string]*server{},
 		accounts: map[string]*bucket{}, runs: map[Key]*run{},
-		suspects: quarantine.NewTable(), faults: newFaults(), copies: map[quarantine.Fingerprint]int{},
-		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]heardNotice{}, bounds: rollout.DefaultBounds(),
+		suspects: quarantine.NewTable(), faults: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
+		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]serverNotice{}, bounds: rollout.DefaultBounds(),
 	}
 	s.SetLapse(DefaultLapse)
 	return s
@@ -127,7 +127,7 @@
 		s.refuse(now, w, Overload, s.returnAfter(now, w))
 	}
 	// Other hosts may be served where this one is not.
-	if !placed && s.allRest(now, svc, w) && s.unqueue(r.Key) {
+	if !placed && s.allBackedOff(now, svc, w) && s.unqueue(r.Key) {
 		s.refuse(now, w, Overload, s.policy.RetryAfter)
 	}
 	refused := slices.ContainsFunc(s.out, func(d Decision) bool { return d.Key == r.Key })
@@ -137,7 +137,7 @@
 // offerTo places w, which has just come, if a server has room for it, and reports
 // whether it did. Whoever waits already was offered what there is when it opened.
 func (s *Scheduler) offerTo(now Time, svc *service, w *waiting) bool {
-	if s.offerTrial(now, svc, w) || s.offerNew(now, svc, w) {
+	if s.offerTrial(now, svc, w) || s.offerNewVersion(now, svc, w) {
 		svc.queue.remove(w.Key)
 		return true
 	}
@@ -248,7 +248,7 @@
 		}
 	}
 	if o.Result == Pace {
-		r.server.endTrial(r)
+		r.server.endIsolation(r)
 		s.suspects.Progress(now, r.req.Fingerprint)
 	}
 	if o.Result == Pace || o.Result == Stalled {
@@ -257,13 +257,13 @@
 	if o.Result.NotRun() {
 		s.repay(now, r)
 	}
-	if svc := s.services[r.req.Service]; svc != nil && r.counted && o.Result != OK {
+	if svc := s.services[r.req.Service]; svc != nil && r.countedAsServed && o.Result != OK {
 		svc.queue.lane(r.req.Priority).sizes.served[r.class].add(now, -1)
 	}
 	s.drop(r)
-	s.judgeSuspects(now)
+	s.reviewSuspects(now)
 	listed := s.servers[r.server.ID] == r.server
-	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.room(now, s.places(svc, r.server)) {
+	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.hasRoom(now, s.places(svc, r.server)) {
 		if slices.Contains(svc.servers, r.server) {
 			s.fill(now, svc, []*server{r.server})
 		} else {
@@ -275,7 +275,7 @@
 
 // learnServer takes in what a run's end tells of its server.
 func (s *Scheduler) learnServer(now Time, r *run, o Outcome) {
-	if s.faults.own(now, r.req.Fingerprint, r.server.ID, o.Result) {
+	if s.faults.recordOutcome(now, r.req.Fingerprint, r.server.ID, o.Result) {
 		o.Result = Left // it says nothing about the server
 	}
 	if (o.Result == OK || o.Result == Pace) && r.placed > r.server.endedAt {
@@ -290,15 +290,15 @@
 // one, and the faulty one like the others.
 func (s *Scheduler) Blame(now Time, server string) {
 	if srv := s.servers[server]; srv != nil {
-		srv.failed(now)
+		srv.recordFailure(now)
 	}
 }
 
 // repay gives an account back what a request that did not run was charged.
 func (s *Scheduler) repay(now Time, r *run) {
-	if b := s.accounts[r.req.Account]; b != nil && !r.repaid {
+	if b := s.accounts[r.req.Account]; b != nil && !r.refunded {
 		b.give(now, r.req.Units)
-		r.repaid = true
+		r.refunded = true
 	}
 }
 
@@ -307,7 +307,7 @@
 		s.orphans--
 	}
 	r.server.finish(r)
-	s.countCopy(r.req.Fingerprint, -1)
+	s.addCopies(r.req.Fingerprint, -1)
 	delete(s.runs, r.req.Key)
 }
 
@@ -331,10 +331,10 @@
 	if a.Elapsed < countedRun {
 		srv.pacer.take(now)
 	}
-	r.ends = max(now, r.ends-a.Elapsed)
-	r.repaid = true // charged elsewhere
+	r.predictedEnd = max(now, r.predictedEnd-a.Elapsed)
+	r.refunded = true // charged elsewhere
 	s.runs[a.Key] = r
-	s.countCopy(a.Fingerprint, 1)
+	s.addCopies(a.Fingerprint, 1)
 }
 
 // HolderGone drops what a holder had waiting. Its runs go on at their servers
@@ -346,7 +346,7 @@
 	for k, r := range s.runs {
 		if k.Holder == holder && !r.orphan {
 			r.orphan = true
-			r.ends = max(now, r.ends) + orphanGrace
+			r.predictedEnd = max(now, r.predictedEnd) + orphanGrace
 			s.orphans++
 		}
 	}
@@ -357,8 +357,8 @@
 func (s *Scheduler) Tick(now Time) []Decision {
 	s.out = nil
 	s.expireOrphans(now)
-	s.judgeSuspects(now)
-	s.passTrials(now)
+	s.reviewSuspects(now)
+	s.advanceTrials(now)
 	for _, svc := range s.services {
 		if svc.queue.size > 0 {
 			s.fillTrial(now, svc)
@@ -374,7 +374,7 @@
 		return
 	}
 	for _, r := range s.runs {
-		if r.orphan && now >= r.ends {
+		if r.orphan && now >= r.predictedEnd {
 			s.drop(r)
 		}
 	}
--- a/internal/sched/server.go
+++ b/internal/sched/server.go
@@ -8,92 +8,93 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
-// run is one placed request.
+// run is a request that was placed at a server.
 type run struct {
-	req     *Request
-	server  *server
-	placed  Time
-	first   time.Duration // predicted, 0 when it has been learned from
-	ends    Time          // predicted
-	tokens  int           // of engine memory
-	orphan  bool          // its holder is gone; it ends by the clock
-	repaid  bool
-	class   int  // by size, in its lane
-	counted bool // in its lane as served
-	trial   bool // isolated, and has shown no progress yet
-}
-
-// server is the scheduler's view of one backend server. Every placement is
-// booked here at once, so no load report is needed to know what it works on.
+	req             *Request
+	server          *server
+	placed          Time
+	predictedFirst  time.Duration // predicted time to the first event, 0 once a sample was taken
+	predictedEnd    Time          // when the run is predicted to end
+	reservedTokens  int           // KV cache tokens reserved at the engine
+	orphan          bool          // its holder is gone; it is dropped after predictedEnd
+	refunded        bool
+	class           int  // size class within its priority queue
+	countedAsServed bool // in the served count of its size class
+	isolated        bool // nothing else is placed at the server until the run shows progress
+}
+
+// server is the scheduler's view of one backend server. Each placement is
+// recorded here at once, so the load is known without load reports.
 type server struct {
 	Server
-	running     int
-	runs        []*run
-	trials      int  // of runs, those isolated
-	tokens      int  // of memory, that the runs need
-	prefillFree Time // when the prompts placed so far are predicted to be read
-	tokenTime   time.Duration
-	paced       bool    // tokenTime was learned from it
-	failing     float64 // share of the newest answers that failed
-	failedAt    Time
-	benchUntil  Time
-	timeOut     time.Duration // the first
-	bench       time.Duration // the next
-	fullUntil   Time
-	coldUntil   Time
-	lot         float64 // 0 to 1, drawn for this scheduler; see Scheduler.places
-	cache       partCache
-	kept        connections
-	known       Time // when it was first listed
-	wellAt      Time // when it answered last
-	ended       bool // nothing listens there any more
-	endedAt     Time
-	leaves      bool              // it was listed as leaving before it ended
-	breaks      []quarantine.Loss // answers that broke off lately
-	pacer       pacer
-	rests       map[uint64]Time // by holder, until when it wants nothing from it
-}
-
-func newServer(now Time, spec Server, svc *service, timeOut time.Duration) *server {
-	s := &server{Server: spec, tokenTime: svc.typicalTokenTime(), timeOut: timeOut, bench: timeOut, known: now, leaves: spec.Draining}
+	running           int
+	runs              []*run
+	isolatedRuns      int  // how many of runs are isolated
+	reservedTokens    int  // KV cache tokens reserved by the runs
+	prefillFreeAt     Time // when prefill of the prompts placed so far is predicted to end
+	tokenTime         time.Duration
+	tokenTimeMeasured bool    // tokenTime comes from the server's own answers
+	failureAverage    float64 // moving average of failed answers, 0 to 1, as of failureUpdatedAt
+	failureUpdatedAt  Time
+	ejectedUntil      Time
+	firstEjection     time.Duration // length of the first ejection
+	nextEjection      time.Duration // length of the next ejection
+	pausedUntil       Time          // after it rejected a request
+	coldUntil         Time          // slower than usual until then, after its start
+	hashFraction      float64       // 0 to 1, differs by host and server; rounds a host's fractional share of the slots
+	cache             partCache
+	idleConnections   connections
+	firstListedAt     Time // when the server list first had it
+	lastAnswerAt      Time // last complete answer or progress
+	ended             bool // nothing listens at its address any more
+	endedAt           Time
+	leaving           bool              // it was known to shut down before it ended
+	brokenAnswers     []quarantine.Loss // recent answers that were cut off
+	pacer             pacer
+	backoffs          map[uint64]Time // by holder, until when nothing is sent for that holder
+}
+
+func newServer(now Time, spec Server, svc *service, firstEjection time.Duration) *server {
+	s := &server{Server: spec, tokenTime: svc.typicalTokenTime(), firstEjection: firstEjection, nextEjection: firstEjection, firstListedAt: now, leaving: spec.Draining}
 	s.coldUntil = now + spec.ColdFor
 	s.cache.capacity = svc.KVTokens
 	return s
 }
 
 func (s *server) usable(now Time) bool {
-	return !s.Draining && now >= s.benchUntil
+	return !s.Draining && now >= s.ejectedUntil
 }
 
-// room reports whether s may take one more request now, with limit places.
+// hasRoom reports whether s may be sent one more request now, with at most maxRunning at
+// once.
 //
-// Guard: a server that comes back from time out may still be gone. It gets one
-// request at a time until one was answered, not as many as it has places. One that runs a
-// request isolated may be about to end, with all that is sent there meanwhile.
-func (s *server) room(now Time, limit int) bool {
-	if s.trials > 0 || s.bench > s.timeOut && s.running > 0 {
+// A server whose ejection is over may still be down, so it gets one request at a time until
+// one is answered. A server with an isolated run gets nothing else: the run may end the
+// server, and all that is sent there meanwhile would be lost.
+func (s *server) hasRoom(now Time, maxRunning int) bool {
+	if s.isolatedRuns > 0 || s.nextEjection > s.firstEjection && s.running > 0 {
 		return false
 	}
-	return s.usable(now) && now >= s.fullUntil && s.running < limit && s.pacer.ready(now)
+	return s.usable(now) && now >= s.pausedUntil && s.running < maxRunning && s.pacer.ready(now)
 }
 
-// open reports whether s may be sent r: it was not tried already and has not asked the
-// holder for rest.
-func (s *server) open(now Time, r *Request) bool {
-	return now >= s.rests[r.Holder] && !slices.Contains(r.Avoid, s.ID)
+// eligible reports whether s may be sent r: r was not tried there, and s has not asked the
+// holder to back off.
+func (s *server) eligible(now Time, r *Request) bool {
+	return now >= s.backoffs[r.Holder] && !slices.Contains(r.Avoid, s.ID)
 }
 
-// hasMemory reports whether an engine's memory holds r beside what runs there. One
-// that is larger than the memory is left to an idle engine to reject.
+// hasMemory reports whether r fits into the engine's KV cache beside the runs there. A
+// request larger than the whole KV cache goes to an idle engine, which rejects it.
 func (s *server) hasMemory(svc *service, r *Request) bool {
-	return svc.KVTokens == 0 || s.running == 0 || s.tokens+r.PromptTokens+r.OutputTokens <= svc.KVTokens
+	return svc.KVTokens == 0 || s.running == 0 || s.reservedTokens+r.PromptTokens+r.OutputTokens <= svc.KVTokens
 }
 
-// prediction is when a request placed now would show its first event and end.
+// prediction estimates a request that is placed now.
 type prediction struct {
 	prefill time.Duration // of its own prompt
-	first   time.Duration
-	total   time.Duration
+	first   time.Duration // until its first event
+	total   time.Duration // until its end
 }
 
 func (s *server) predict(now Time, svc *service, r *Request) prediction {
@@ -104,7 +105,7 @@
 	prompt := r.PromptTokens - s.cache.held(r.Parts)
 	var p prediction
 	p.prefill = time.Duration(float64(prompt) * svc.readShare * float64(s.tokenTime))
-	p.first = max(0, s.prefillFree-now) + p.prefill + s.tokenTime
+	p.first = max(0, s.prefillFreeAt-now) + p.prefill + s.tokenTime
 	p.total = p.first + time.Duration(r.OutputTokens)*s.tokenTime
 	if now < s.coldUntil {
 		p.first *= 2
@@ -113,97 +114,99 @@
 	return p
 }
 
-// failureShare is the share of failures, faded by the time since the newest.
+// failureShare returns the failure average, decayed by the time since its last update.
 func (s *server) failureShare(now Time) float64 {
-	if s.failing == 0 {
+	if s.failureAverage == 0 {
 		return 0
 	}
-	return s.failing * math.Exp2(-float64(now-s.failedAt)/float64(failureMemory))
+	return s.failureAverage * math.Exp2(-float64(now-s.failureUpdatedAt)/float64(failureMemory))
 }
 
 func (s *server) start(now Time, svc *service, r *Request) *run {
 	p := s.predict(now, svc, r)
-	s.prefillFree = max(s.prefillFree, now) + p.prefill
+	s.prefillFreeAt = max(s.prefillFreeAt, now) + p.prefill
 	s.running++
-	tokens := r.PromptTokens + r.OutputTokens
-	s.tokens += tokens
+	reservedTokens := r.PromptTokens + r.OutputTokens
+	s.reservedTokens += reservedTokens
 	s.cache.use(now, r.Parts)
-	s.kept.use(r.Holder)
-	placed := &run{req: r, server: s, placed: now, first: p.first, ends: now + min(p.total, maxPredicted), tokens: tokens}
+	s.idleConnections.use(r.Holder)
+	placed := &run{req: r, server: s, placed: now, predictedFirst: p.first, predictedEnd: now + min(p.total, maxPredicted), reservedTokens: reservedTokens}
 	s.runs = append(s.runs, placed)
 	return placed
 }
 
 func (s *server) finish(r *run) {
 	s.running--
-	s.endTrial(r)
-	s.tokens -= r.tokens
+	s.endIsolation(r)
+	s.reservedTokens -= r.reservedTokens
 	s.runs = slices.DeleteFunc(s.runs, func(have *run) bool { return have == r })
 }
 
-// endTrial opens the server to others again: r has ended, or is well on its way.
-func (s *server) endTrial(r *run) {
-	if r.trial {
-		r.trial = false
-		s.trials--
+// endIsolation lets the server take other requests again, after r has ended or shown
+// progress.
+func (s *server) endIsolation(r *run) {
+	if r.isolated {
+		r.isolated = false
+		s.isolatedRuns--
 	}
 }
 
-// learn takes in how a run went. It reports whether the server is to be left
-// alone for a while.
+// learn updates the server's estimates from the outcome of a run, and ejects the server
+// when the outcome calls for it.
 func (s *server) learn(now Time, o Outcome) {
 	if o.Result == OK || o.Result == Pace {
-		s.wellAt = now
+		s.lastAnswerAt = now
 	}
 	if o.Pace > 0 {
-		s.learnPace(min(max(o.Pace, minTokenTime), maxTokenTime))
+		s.learnTokenTime(min(max(o.Pace, minTokenTime), maxTokenTime))
 	}
 	switch o.Result {
 	case OK:
-		s.kept.keep(now, o.Holder)
-		s.failing = s.failureShare(now) * (1 - failureRate)
-		s.failedAt = now
-		s.bench = s.timeOut
+		s.idleConnections.keep(now, o.Holder)
+		s.failureAverage = s.failureShare(now) * (1 - failureRate)
+		s.failureUpdatedAt = now
+		s.nextEjection = s.firstEjection
 	case Errored:
-		s.failed(now)
+		s.recordFailure(now)
 	case Broken, Silent, Unreachable, Ended:
-		s.failed(now)
-		if o.Result != Broken || s.failing > benchShare {
-			s.leaveAlone(now)
+		s.recordFailure(now)
+		if o.Result != Broken || s.failureAverage > benchShare {
+			s.eject(now)
 		}
 	case Stalled:
-		s.leaveAlone(now)
+		s.eject(now)
 	case Rejected:
-		s.fullUntil = now + rejectedPause
+		s.pausedUntil = now + rejectedPause
 	case Gone:
 		s.Draining = true
 	}
 }
 
-// learnPace takes in the time between output tokens of a run. The first sample
-// counts in full: engines differ several times in speed, and a home that has just
-// begun would send long prompts to slow ones until it has seen a dozen answers.
-func (s *server) learnPace(pace time.Duration) {
+// learnTokenTime updates the time per output token from a run. The first sample counts in
+// full: engines differ in speed by a factor of several, and a newly started home would send
+// long prompts to slow engines for a dozen answers.
+func (s *server) learnTokenTime(sample time.Duration) {
 	rate := paceRate
-	if !s.paced {
-		rate, s.paced = 1, true
+	if !s.tokenTimeMeasured {
+		rate, s.tokenTimeMeasured = 1, true
 	}
-	s.tokenTime += time.Duration(float64(pace-s.tokenTime) * rate)
+	s.tokenTime += time.Duration(float64(sample-s.tokenTime) * rate)
 }
 
-// leaveAlone takes the server out for a while, twice as long each time until
-// an answer arrives. Runs that were placed together fail together: they count
-// once.
-func (s *server) leaveAlone(now Time) {
-	if now < s.benchUntil {
+// eject stops sending to the server for a while, twice as long each time up to a limit, until
+// an answer arrives. Failures during an ejection don't extend it, since runs that were placed
+// together fail together.
+func (s *server) eject(now Time) {
+	if now < s.ejectedUntil {
 		return
 	}
-	s.benchUntil = now + s.bench
-	s.bench = min(timeOutMost*s.timeOut, 2*s.bench)
+	s.ejectedUntil = now + s.nextEjection
+	s.nextEjection = min(timeOutMost*s.firstEjection, 2*s.nextEjection)
 }
 
-func (s *server) failed(now Time) {
+// recordFailure adds a failed answer to the failure average.
+func (s *server) recordFailure(now Time) {
 	f := s.failureShare(now)
-	s.failing = f + (1-f)*failureRate
-	s.failedAt = now
+	s.failureAverage = f + (1-f)*failureRate
+	s.failureUpdatedAt = now
 }
--- a/internal/sched/settings_test.go
+++ b/internal/sched/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-var _ = Describe("the figures of a policy", func() {
-	It("are set by name, in their unit, and read back", func() {
+var _ = Describe("the settings of a policy", func() {
+	It("are set by name and in their unit, and read back", func() {
 		p := DefaultPolicy()
 		Expect(p.Set("total-weight=0.5, late-behind=0,time-out=250,chooses-from=3")).To(Succeed())
 		Expect(p.TotalWeight).To(Equal(0.5))
@@ -18,7 +18,7 @@
 		Expect(p.Set("")).To(Succeed())
 	})
 
-	It("have defaults within their bounds, and values that switch them off", func() {
+	It("have defaults within their bounds and accept the values that disable them", func() {
 		for _, s := range Settings() {
 			p := DefaultPolicy()
 			Expect(s.Value(p)).To(And(BeNumerically(">=", s.Least), BeNumerically("<=", s.Most)), s.Name)
@@ -28,7 +28,7 @@
 		}
 	})
 
-	It("are refused with every fault named", func() {
+	It("are rejected with an error that names every invalid pair", func() {
 		p := DefaultPolicy()
 		err := p.Set("cap=0,wait-share=x,no-such=1,total-weight=NaN,total-weight=1")
 		Expect(failure.Is(err, failure.BadSetting)).To(BeTrue())
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -8,34 +8,38 @@
 )
 
 const (
-	// trialSpace is how far apart those start at one service that have seen two ends or
-	// more. A poison request ends its server within half a second of its start, as a rule; so the
-	// ends of several poison requests at once can be told apart, each from the others and all
-	// from a rack that ends. Of five poison requests at nine engines each was known by its third
-	// to fifth end so, and by its ninth without.
-	trialSpace = 400 * time.Millisecond
-	// besideSuspect is what a place beside another suspect costs one: the poison request and those
-	// that were lost with it must not meet again, if another server has room.
-	besideSuspect = 2 * time.Second
-	// besideOthers is what each request that would be lost with it costs one isolated:
-	// it goes where it does the least harm.
-	besideOthers = 500 * time.Millisecond
-	// breakMemory is how long a broken answer may turn out to have been its server's end:
-	// a server's entry lapses 3 to 4 s after it.
-	breakMemory = 6 * time.Second
-	maxBreaks   = 64
+	// minRecurrentInterval is the minimum time between the starts, at one service, of requests
+	// under which two or more servers have ended. A poison request usually ends its server
+	// within half a second, so with this interval the ends caused by several poison requests
+	// can be told apart from each other and from the failure of a whole rack. With five poison
+	// requests at nine engines, each was detected by its third to fifth end, and without the
+	// interval by its ninth.
+	minRecurrentInterval = 400 * time.Millisecond
+	// besideSuspectCost is the cost for a suspect of a server that runs another suspect. It
+	// separates the poison request from those that were lost with it, if another server has
+	// room.
+	besideSuspectCost = 2 * time.Second
+	// perNeighborCost is the cost, for a suspect under which two or more servers have ended,
+	// of each run at a server: it goes where the fewest runs would be lost.
+	perNeighborCost = 500 * time.Millisecond
+	// brokenAnswerMemory is how long a broken answer may still prove to be caused by the end
+	// of its server: the entry of a server expires 3 to 4 s after its end.
+	brokenAnswerMemory = 6 * time.Second
+	maxBrokenAnswers   = 64
 )
 
-// SetHost names the host that runs this scheduler, for what it puts in quarantine.
+// SetHost sets the name of the host that runs this scheduler, recorded with the requests that
+// it quarantines.
 func (s *Scheduler) SetHost(name string) { s.suspects.SetHost(name) }
 
-// SetLapse tells how long after a server's end its entry is listed, at most.
+// SetLapse sets the maximum time for which a server stays listed after it has ended.
 func (s *Scheduler) SetLapse(d time.Duration) {
 	s.lapse = d
 	s.suspects.SetLapse(d)
 }
 
-// standing is how a request is to be treated for the servers that ended under it.
+// standing returns how a request is to be treated, given the servers that ended while they ran
+// it.
 func (s *Scheduler) standing(now Time, r *Request) quarantine.Standing {
 	if !s.suspects.Has(r.Fingerprint) {
 		return quarantine.Free
@@ -43,7 +47,7 @@
 	return s.suspects.Judge(now, r.Fingerprint, peers{s.services[r.Service]})
 }
 
-// peers are the servers of a service, as the table asks for them.
+// peers gives the quarantine table access to the servers of a service.
 type peers struct{ svc *service }
 
 // Well implements quarantine.Peers.
@@ -52,7 +56,7 @@
 		return false
 	}
 	for _, srv := range p.svc.servers {
-		if !srv.ended && srv.known < since && srv.wellAt > since {
+		if !srv.ended && srv.firstListedAt < since && srv.lastAnswerAt > since {
 			return true
 		}
 	}
@@ -66,19 +70,19 @@
 	}
 	for _, srv := range p.svc.servers {
 		busy := slices.ContainsFunc(srv.runs, func(r *run) bool { return r.placed <= at })
-		if srv.known <= at && !srv.ended && srv.wellAt <= at && !busy {
+		if srv.firstListedAt <= at && !srv.ended && srv.lastAnswerAt <= at && !busy {
 			n++
 		}
 	}
 	return n
 }
 
-// heldBack reports whether a request must wait although there is room.
+// heldBack reports whether a request must wait although a server has room.
 //
-// Guard: the same request may stand at several hosts at once. Each copy that is sent
-// before the first has ended its server ends another one; so a suspect's copies run one
-// at a time. A host that decides alone knows neither all ends nor all copies, and leaves
-// those isolated to its home.
+// Several hosts may hold copies of the same request. Each copy of a poison request that is
+// sent before the first one ends its server ends another server, so the copies of a suspect
+// run one at a time. A host that schedules alone knows neither all ends nor all copies, and
+// leaves isolated requests to its home.
 func (s *Scheduler) heldBack(now Time, r *Request) bool {
 	standing := s.standing(now, r)
 	switch {
@@ -90,11 +94,12 @@
 		return true
 	}
 	svc := s.services[r.Service]
-	return s.suspects.Recurrent(r.Fingerprint) && svc.tried > 0 && now-svc.tried < trialSpace
+	return s.suspects.Recurrent(r.Fingerprint) && svc.tried > 0 && now-svc.tried < minRecurrentInterval
 }
 
-// keptApart reports whether srv must not take r for the sake of others there, or of r.
-func (s *Scheduler) keptApart(srv *server, r *Request) bool {
+// hasConflictingSuspect reports whether srv runs a suspect beside which r must not run: both
+// are suspects, and at least one has seen two or more servers end.
+func (s *Scheduler) hasConflictingSuspect(srv *server, r *Request) bool {
 	if !s.suspects.Has(r.Fingerprint) {
 		return false
 	}
@@ -107,25 +112,25 @@
 	return false
 }
 
-// suspectCost is what a place at srv costs a suspect beyond what it costs others.
+// suspectCost returns the extra cost of srv for r, 0 if r is no suspect.
 func (s *Scheduler) suspectCost(srv *server, r *Request) time.Duration {
 	if !s.suspects.Has(r.Fingerprint) {
 		return 0
 	}
 	cost := time.Duration(0)
 	if s.suspects.Recurrent(r.Fingerprint) {
-		cost = besideOthers * time.Duration(srv.running)
+		cost = perNeighborCost * time.Duration(srv.running)
 	}
 	for _, other := range srv.runs {
 		if s.suspects.Has(other.req.Fingerprint) {
-			return cost + besideSuspect
+			return cost + besideSuspectCost
 		}
 	}
 	return cost
 }
 
-// countCopy keeps the number of runs of each request.
-func (s *Scheduler) countCopy(f quarantine.Fingerprint, n int) {
+// addCopies adds n to the number of runs of a request.
+func (s *Scheduler) addCopies(f quarantine.Fingerprint, n int) {
 	if !f.Known() {
 		return
 	}
@@ -134,37 +139,37 @@
 	}
 }
 
-// learnEnd takes in what a run's end tells of the request.
+// learnEnd updates what is known of a request from the outcome of a run.
 func (s *Scheduler) learnEnd(now Time, r *run, o Outcome) {
 	switch o.Result {
 	case OK:
 		s.suspects.Clear(now, r.req.Fingerprint)
 	case Ended:
-		s.ended(now, r.server)
-		s.lost(r.server, s.loss(now, r, o.First > 0))
+		s.recordEnd(now, r.server)
+		s.recordLoss(r.server, s.newLoss(now, r, o.First > 0))
 	case Broken:
 		if r.server.ended {
-			s.lost(r.server, s.loss(now, r, o.First > 0))
+			s.recordLoss(r.server, s.newLoss(now, r, o.First > 0))
 			return
 		}
-		r.server.brokeOff(s.loss(now, r, o.First > 0))
+		r.server.addBrokenAnswer(s.newLoss(now, r, o.First > 0))
 	case Unreachable:
-		s.endedIdle(now, r.server)
+		s.recordIdleEnd(now, r.server)
 	case Gone:
-		s.ended(now, r.server)
+		s.recordEnd(now, r.server)
 	}
 }
 
-func (s *Scheduler) loss(now Time, r *run, shown bool) quarantine.Loss {
+func (s *Scheduler) newLoss(now Time, r *run, hadFirstEvent bool) quarantine.Loss {
 	return quarantine.Loss{
-		Fingerprint: r.req.Fingerprint, Account: r.req.Account, Service: r.req.Service, Server: r.server.ID, At: now, Shown: shown,
+		Fingerprint: r.req.Fingerprint, Account: r.req.Account, Service: r.req.Service, Server: r.server.ID, At: now, Shown: hadFirstEvent,
 	}
 }
 
-// lost holds a server's end against a request that it had. One that was to leave is no
-// request's fault.
-func (s *Scheduler) lost(srv *server, l quarantine.Loss) {
-	if srv.leaves {
+// recordLoss counts the end of a server against a request that ran there. The end of a server
+// that was already leaving counts against no request.
+func (s *Scheduler) recordLoss(srv *server, l quarantine.Loss) {
+	if srv.leaving {
 		return
 	}
 	if s.suspects.Add(l.At, l) {
@@ -172,9 +177,9 @@
 	}
 }
 
-// judgeSuspects looks again at requests under which servers have ended lately, and takes
-// the copies of those that are in quarantine off their servers.
-func (s *Scheduler) judgeSuspects(now Time) {
+// reviewSuspects judges the requests again under which servers ended recently, and revokes
+// the runs of those in quarantine.
+func (s *Scheduler) reviewSuspects(now Time) {
 	for f, service := range s.review {
 		switch s.standing(now, &Request{Fingerprint: f, Service: service}) {
 		case quarantine.Wait:
@@ -187,10 +192,10 @@
 	}
 }
 
-// revoke asks the holders of a request's runs to end those that have shown nothing yet.
+// revoke asks the holders of a request's runs to cancel those without a first event.
 //
-// Guard: copies that were sent before the first end was known may still stand in the
-// queues of servers, and each would end one more.
+// Copies that were sent before the first end was known may still wait in the queues of
+// servers, and each would end another server.
 func (s *Scheduler) revoke(now Time, f quarantine.Fingerprint) {
 	if s.copies[f] == 0 || s.suspects.RetryIn(now, f) == 0 {
 		return
@@ -202,48 +207,49 @@
 	}
 }
 
-// brokeOff remembers an answer that broke off while the server accepted connections.
-func (s *server) brokeOff(l quarantine.Loss) {
-	s.breaks = slices.DeleteFunc(s.breaks, func(b quarantine.Loss) bool { return l.At-b.At >= breakMemory })
-	if len(s.breaks) < maxBreaks {
-		s.breaks = append(s.breaks, l)
+// addBrokenAnswer remembers an answer that was cut off while the server accepted connections.
+func (s *server) addBrokenAnswer(l quarantine.Loss) {
+	s.brokenAnswers = slices.DeleteFunc(s.brokenAnswers, func(b quarantine.Loss) bool { return l.At-b.At >= brokenAnswerMemory })
+	if len(s.brokenAnswers) < maxBrokenAnswers {
+		s.brokenAnswers = append(s.brokenAnswers, l)
 	}
 }
 
-// ended notes that a server has ended, by a request or by itself.
+// recordEnd records that a server has ended, for whatever reason.
 //
-// Guard: a server that a supervisor starts again at once accepts connections when it is
-// asked after a broken answer. Its answers look broken then and nothing more; they count
-// when another incarnation is found in its place.
-func (s *Scheduler) ended(now Time, srv *server) {
+// A server that a supervisor restarts at once accepts connections again when it is probed
+// after a broken answer, so its answers look merely broken. They are counted as losses when
+// another incarnation is found in its place.
+func (s *Scheduler) recordEnd(now Time, srv *server) {
 	srv.ended, srv.endedAt = true, now
-	for _, b := range srv.breaks {
-		if now-b.At < breakMemory {
-			s.lost(srv, b)
+	for _, b := range srv.brokenAnswers {
+		if now-b.At < brokenAnswerMemory {
+			s.recordLoss(srv, b)
 		}
 	}
-	srv.breaks = nil
+	srv.brokenAnswers = nil
 }
 
-// endedIdle notes that a server was found to have ended at some time since it was known to
-// be there. One that was to leave tells nothing, and of one with runs their ends tell.
-func (s *Scheduler) endedIdle(now Time, srv *server) {
-	if !srv.leaves && srv.running == 0 {
-		s.suspects.EndedIdle(srv.ID, max(now-s.lapse, srv.known, srv.wellAt), now)
+// recordIdleEnd records that a server without runs has ended at some time since it was last
+// known to be up. Servers that were leaving say nothing about other ends, and for servers with
+// runs the outcomes of the runs are recorded instead.
+func (s *Scheduler) recordIdleEnd(now Time, srv *server) {
+	if !srv.leaving && srv.running == 0 {
+		s.suspects.EndedIdle(srv.ID, max(now-s.lapse, srv.firstListedAt, srv.lastAnswerAt), now)
 	}
 }
 
-// LearnLoss takes a run that this host lost with its server, whoever schedules for it.
+// LearnLoss records a run that this host lost with its server, whichever scheduler placed it.
 func (s *Scheduler) LearnLoss(now Time, l quarantine.Loss) {
 	l.At = now
 	if srv := s.servers[l.Server]; srv != nil {
-		s.lost(srv, l)
+		s.recordLoss(srv, l)
 		return
 	}
 	s.suspects.Add(now, l)
 }
 
-// LearnSuspects takes what another host knows of requests that end servers.
+// LearnSuspects merges another host's records of requests that end servers.
 func (s *Scheduler) LearnSuspects(now Time, records []quarantine.Record) []Decision {
 	s.out = nil
 	for _, r := range records {
@@ -255,11 +261,12 @@
 	return s.out
 }
 
-// SuspectNews tells what has changed of requests that end servers.
+// SuspectNews returns the records of requests that end servers that changed since the last
+// call.
 func (s *Scheduler) SuspectNews(now Time) []quarantine.Record { return s.suspects.TakeNews(now) }
 
-// Suspects tells all that is known of requests that end servers.
+// Suspects returns all records of requests that end servers.
 func (s *Scheduler) Suspects(now Time) []quarantine.Record { return s.suspects.All(now) }
 
-// Quarantined counts the requests in quarantine.
+// Quarantined returns the number of requests in quarantine.
 func (s *Scheduler) Quarantined() int { return s.suspects.Quarantined() }
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -1,12 +1,11 @@
-// Package sched decides for the backend servers of the services: which
-// waiting request is placed at which server, which one is refused and when its
-// caller should come back. It is a pure state machine: every call takes the
-// time, and nothing in it reads a clock, does I/O or starts a goroutine, so
-// the daemon and the tests run the same code.
+// Package sched decides at which backend server a waiting request is placed, which
+// requests are refused, and when the caller of a refused request should retry. It is a pure
+// state machine: each call is given the time, and nothing in it reads a clock, does I/O or
+// starts a goroutine, so the daemon and the tests run the same code.
 //
-// One Scheduler serves all hosts while their home answers. A host that has
-// lost its home runs one of its own with a share of every server, quota and
-// retry budget.
+// One Scheduler, on the home (the entry host that runs the scheduler), serves all entry
+// hosts. A host that has lost its home runs a Scheduler of its own with a share of each
+// server, quota and retry budget.
 package sched
 
 import (
@@ -15,54 +14,54 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
-// Time is a moment on the monotonic clock of the process that runs the
-// scheduler, counted from its start.
+// Time is a time on the monotonic clock of the process that runs the scheduler, counted
+// from the start of the process.
 type Time = time.Duration
 
-// Service is a group of backend servers that do the same work.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name     string
-	Engine   bool // generates tokens in batches; otherwise a plain service
-	KVTokens int  // an engine's memory in tokens, 0 when not known
+	Engine   bool // true for inference engines, which generate tokens in batches; false for plain services
+	KVTokens int  // KV cache capacity of an engine in tokens, 0 if unknown
 	// Stride is the number of output tokens in one event of a stream.
 	Stride int
 }
 
-// Server is one incarnation of a backend server. One that starts again has another
-// ID, so that nothing believed of the start before is held for or against it.
+// Server is one incarnation of a backend server. A restarted server has a new ID, so no
+// estimate of the earlier incarnation applies to it.
 type Server struct {
 	ID       string
 	Service  string
-	Version  string // of its software, empty when it is not told
+	Version  string // software version, empty if unknown
 	Address  string // IP:PORT
 	Zone     string
-	Slots    int // requests it works on at once
+	Slots    int // concurrent requests
 	Draining bool
-	ColdFor  time.Duration // how much longer it is slow after its start
-	Born     int64         // Unix millisecond of its start by its own clock, 0 when not told
+	ColdFor  time.Duration // remaining warm-up time, in which it is slower
+	Born     int64         // start time in Unix milliseconds by its own clock, 0 if unknown
 }
 
-// Account is a client account with its quota.
+// Account is a client account and its quota.
 type Account struct {
 	Name  string
-	Rate  float64 // units a second over all hosts, 0: no limit
+	Rate  float64 // units per second over all hosts, 0 for no limit
 	Burst float64 // units
 }
 
-// Part is one piece of a prompt that requests may share.
+// Part is a prompt part, which requests may share.
 type Part struct {
 	Key    uint64
 	Tokens int
 }
 
-// Key names a request: its holder, and the holder's number for it.
+// Key identifies a request by its holder and the holder's ID for it. The holder is the
+// entry host that received the request and owes the caller its answer.
 type Key struct {
 	Holder uint64 // incarnation of the entry host
 	ID     uint64
 }
 
-// Request is what the scheduler knows of a request; its body stays at the
-// holder.
+// Request is what the scheduler knows of a request. The body stays at the holder.
 type Request struct {
 	Key
 	Zone         string // of the holder
@@ -73,58 +72,57 @@
 	OutputTokens int     // expected, 0 for a plain call
 	Units        float64 // charged to the account's quota
 	Parts        []Part
-	Arrived      Time // at the first holder's first ask
-	Aim          Time // latency objective: first event, or whole answer
-	// LeavesAt is when the caller gives up for want of an event, 0 when it
-	// stays until its deadline. Callers of streams leave well before that.
+	Arrived      Time // first placement request of the first holder
+	Aim          Time // latency target for the first event of a stream or the whole answer of a plain call
+	// LeavesAt is the caller timeout: when the caller gives up if it has received no event,
+	// 0 if it waits until its deadline. Callers of streams give up well before the deadline.
 	LeavesAt    Time
 	Deadline    Time
-	MaxPause    time.Duration // longest between events of a stream that is on time, 0: any
-	Repeat      bool          // draws on the service's retry budget
-	Avoid       []string      // servers that were tried already
+	MaxPause    time.Duration // longest pause between events for a stream to count as on time, 0 for no bound
+	Repeat      bool          // a retry, which draws on the service's retry budget
+	Avoid       []string      // servers that were already tried
 	Fingerprint quarantine.Fingerprint
 	Route       string
-	Repeatable  bool // its run may be cut off: it may run again, or go on, elsewhere
+	Repeatable  bool // its run may be interrupted and repeated or resumed elsewhere
 }
 
-// Result tells how a run ended.
+// Result is how a run ended.
 type Result uint8
 
 // The results of a run.
 const (
-	// Unused: the place was not used; nothing was sent.
+	// Unused: nothing was sent on the placement.
 	Unused Result = iota
 	// OK: the whole answer arrived.
 	OK
-	// Left: the caller went away or ran out of time. It says nothing about
-	// the server.
+	// Left: the caller disconnected or its deadline passed. This says nothing about the
+	// server.
 	Left
 	// Unreachable: the connection failed before anything was sent.
 	Unreachable
-	// Rejected: the server said that it did not run the request.
+	// Rejected: the server stated that it did not run the request.
 	Rejected
 	// Gone: another incarnation answers at the server's address.
 	Gone
-	// Errored: the server answered with a failure of its own.
+	// Errored: the server answered with an error that is attributed to the server.
 	Errored
-	// Broken: the answer was lost or cut off, and the server accepts connections.
+	// Broken: the answer was lost or cut off, and the server still accepts connections.
 	Broken
-	// Silent: the server stopped answering, to new connections too.
+	// Silent: the server stopped answering, including new connections.
 	Silent
-	// Pace: the run goes on; only its speed is reported.
+	// Pace: the run continues; only its time per output token is reported.
 	Pace
-	// Stalled: the run goes on, for want of a better, but its server does not
-	// answer new connections.
+	// Stalled: the run continues for lack of an alternative, but its server does not answer
+	// new connections.
 	Stalled
-	// Ended: the answer was lost or cut off, and nothing listens at the server's address
-	// any more.
+	// Ended: the answer was lost or cut off, and nothing listens at the server's address.
 	Ended
-	// Unblamed: the server answered with a failure that may be the request's own; another
-	// server's answer will tell.
+	// Unblamed: the server answered with an error that the request itself may have caused;
+	// the answer of another server decides.
 	Unblamed
 )
 
-// NotRun reports whether nothing ran, so that the account is given back its units.
+// NotRun reports whether the request did not run, so that its quota units are refunded.
 func (r Result) NotRun() bool {
 	return r == Unused || r == Unreachable || r == Rejected || r == Gone
 }
@@ -132,15 +130,15 @@
 // Lost reports whether the answer was lost or cut off.
 func (r Result) Lost() bool { return r == Broken || r == Ended }
 
-// Outcome reports on a run.
+// Outcome is a report about a run.
 type Outcome struct {
 	Key
 	Result Result
-	First  time.Duration // from dispatch to the first event, 0 when unknown
-	Pace   time.Duration // between output tokens, 0 when unknown
+	First  time.Duration // from dispatch to the first event, 0 if unknown
+	Pace   time.Duration // time per output token, 0 if unknown
 }
 
-// Run is a run that another scheduler placed and that still lasts.
+// Run is an unfinished run that another scheduler placed.
 type Run struct {
 	Key
 	Service      string
@@ -154,14 +152,14 @@
 	Repeatable   bool
 }
 
-// Reason tells why a request is refused. Nothing of it ran.
+// Reason is why a request was refused without having run.
 type Reason uint8
 
 // The reasons of a refusal.
 const (
-	// Overload: it waited as long as may be, and no server had room.
+	// Overload: no server had room within the time that the request may wait.
 	Overload Reason = iota + 1
-	// Quota: its account is over its limit.
+	// Quota: the account is over its quota.
 	Quota
 	// NoServer: the service has no usable server.
 	NoServer
@@ -169,11 +167,11 @@
 	Budget
 	// NoService: the service is not in the configuration.
 	NoService
-	// Quarantined: servers ended while they ran the same request before.
+	// Quarantined: servers ended while they ran the same request.
 	Quarantined
 )
 
-// String tells the reason in words, for logs and callers.
+// String describes the reason for logs and callers.
 func (r Reason) String() string {
 	switch r {
 	case Overload:
@@ -192,19 +190,19 @@
 	return "no reason"
 }
 
-// Decision is an output of the scheduler for one request. Server is set when
-// it is placed; otherwise Reason and RetryAfter are.
+// Decision is the scheduler's decision on one request. Server is set if the request is
+// placed; otherwise Reason and RetryAfter are set.
 type Decision struct {
 	Key
 	Server     string
 	Address    string
-	Waited     time.Duration // between the ask and the place
+	Waited     time.Duration // from the placement request to the placement
 	Reason     Reason
 	RetryAfter time.Duration
-	// Waiting and Usable explain a refusal: how many requests of the service
-	// waited, and how many of its servers were usable.
+	// Waiting and Usable describe the service at a refusal: the number of waiting requests
+	// and of usable servers.
 	Waiting int
 	Usable  int
-	// Detail explains a refusal further, for logs.
+	// Detail explains a refusal in logs.
 	Detail string
 }
