--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -24,7 +24,7 @@
 // usable server would meet with nothing else to do. What is out of reach even there is not
 // required of any server.
 func (s *Scheduler) requirementsOf(now Time, svc *service, fastest *server, r *Request) requirements {
-	if fastest != nil && !fastest.open(now, r) {
+	if fastest != nil && !fastest.eligible(now, r) {
 		fastest = svc.fastest(now, r)
 	}
 	if fastest == nil {
@@ -69,7 +69,7 @@
 	if maxPause == math.MaxInt64 {
 		return math.Inf(1)
 	}
-	remaining := maxPause - max(0, s.prefillFree-now) - svc.eventTime(s)
+	remaining := maxPause - max(0, s.prefillFreeAt-now) - svc.eventTime(s)
 	return float64(remaining) / (svc.prefillRatio * float64(s.tokenTime))
 }
 
@@ -136,7 +136,7 @@
 func (svc *service) fastest(now Time, r *Request) *server {
 	var best *server
 	for _, srv := range svc.servers {
-		if r != nil && !srv.open(now, r) {
+		if r != nil && !srv.eligible(now, r) {
 			continue
 		}
 		if srv.usable(now) && srv.pacer.ready(now) && (best == nil || srv.tokenTime < best.tokenTime) {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	s.place(now, svc, srv, w)
-	c.onPlaced(now, svc, srv, srv.room(now, s.concurrencyLimit(svc, srv)))
+	c.onPlaced(now, svc, srv, srv.hasRoom(now, s.concurrencyLimit(svc, srv)))
 	return true
 }
 
@@ -48,7 +48,7 @@
 func (s *Scheduler) serversWithRoom(now Time, svc *service) []*server {
 	var free []*server
 	for _, srv := range svc.servers {
-		if srv.room(now, s.concurrencyLimit(svc, srv)) {
+		if srv.hasRoom(now, s.concurrencyLimit(svc, srv)) {
 			free = append(free, srv)
 		}
 	}
@@ -68,7 +68,7 @@
 		head := pq.onTime[:min(len(pq.onTime), s.policy.ChoosesFrom)]
 		for _, w := range head {
 			w.adjustedRank = w.rank - s.cacheMissCost(free[0].cache.cachedTokens(w.Parts))
-			if free[0].kept.hasIdle(now, w.Holder) {
+			if free[0].idleConnections.hasIdle(now, w.Holder) {
 				w.adjustedRank -= s.policy.ConnectCost
 			}
 		}
@@ -93,7 +93,7 @@
 	}
 	share := s.policy.Cap * s.share.Servers * slots
 	n := int(share)
-	if srv.lot < share-float64(n) || n == 0 && srv.pacer.limited() {
+	if srv.hashFraction < share-float64(n) || n == 0 && srv.pacer.limited() {
 		n++
 	}
 	return n
@@ -115,7 +115,7 @@
 		return nil
 	}
 	for _, srv := range c.free {
-		if !srv.open(now, r) || !srv.hasMemory(svc, r) || s.keptApart(srv, r) {
+		if !srv.eligible(now, r) || !srv.hasMemory(svc, r) || s.hasConflictingSuspect(srv, r) {
 			continue
 		}
 		fits := reqs.metBy(now, svc, srv, r)
@@ -147,7 +147,7 @@
 	}
 	// A server that states a rate limit gets too few requests for connections to stay open,
 	// and only its answers show when it accepts more.
-	if !srv.kept.hasIdle(now, r.Holder) && !srv.pacer.limited() {
+	if !srv.idleConnections.hasIdle(now, r.Holder) && !srv.pacer.limited() {
 		c += s.policy.ConnectCost
 	}
 	if svc.Engine {
@@ -177,12 +177,12 @@
 	if v := svc.versions; v.trial != nil {
 		v.trial.Reached(srv.Version == v.order.To)
 	}
-	r.class, r.counted = w.class, true
+	r.class, r.countedAsServed = w.class, true
 	s.runs[w.Key] = r
-	s.countCopy(w.Fingerprint, 1)
+	s.addCopies(w.Fingerprint, 1)
 	if s.suspects.Recurrent(w.Fingerprint) {
-		r.trial = true
-		srv.trials++
+		r.isolated = true
+		srv.isolatedRuns++
 		svc.recurrentPlacedAt = now
 	}
 	s.out = append(s.out, Decision{Key: w.Key, Server: srv.ID, Address: srv.Address, Waited: now - w.submittedAt})
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -56,7 +56,7 @@
 		s.Submit(0, stream(1, 0, 0))
 		s.Submit(0, stream(2, 0, 0))
 		Expect(s.servers["e0"].running).To(Equal(2))
-		s.servers["e0"].prefillFree, s.servers["e1"].prefillFree = 0, 0
+		s.servers["e0"].prefillFreeAt, s.servers["e1"].prefillFreeAt = 0, 0
 		return s
 	}
 	withPrompt := func(id uint64, prompt int) Request {
@@ -82,7 +82,7 @@
 		s := fastAndSlow()
 		out, _ := s.Submit(0, withPrompt(3, 500))
 		Expect(out[0].Server).To(Equal("e1"))
-		s.servers["e1"].prefillFree = 0
+		s.servers["e1"].prefillFreeAt = 0
 		_, waits := s.Submit(0, withPrompt(4, 12_000)) // 0.62 s of prefill on the slow one
 		Expect(waits).To(BeTrue())
 		out = finish(s, 50*ms, 3, OK)
@@ -101,7 +101,7 @@
 		Expect(s.servers["e0"].running).To(Equal(3))
 		out, _ := s.Submit(0, withPrompt(4, 500))
 		Expect(out[0].Server).To(Equal("e1"))
-		s.servers["e1"].prefillFree = 400 * ms
+		s.servers["e1"].prefillFreeAt = 400 * ms
 		_, waits := s.Submit(0, withPrompt(5, 4000))
 		Expect(waits).To(BeTrue())
 		out, _ = s.Submit(390*ms, withPrompt(6, 100))
@@ -135,7 +135,7 @@
 		out, _ := s.Submit(0, fromHolder(2, 1, 0))
 		connected := out[0].Server
 		finishFrom(s, 10*ms, 2, 1)
-		s.servers[connected].prefillFree = 50 * ms // another server would be slightly sooner
+		s.servers[connected].prefillFreeAt = 50 * ms // another server would be slightly sooner
 		out, _ = s.Submit(20*ms, fromHolder(3, 2, 20*ms))
 		Expect(out[0].Server).NotTo(Equal(connected), "another holder has no connection there")
 		out, _ = s.Submit(20*ms, fromHolder(2, 3, 20*ms))
@@ -144,7 +144,7 @@
 		Expect(out[0].Server).NotTo(Equal(connected), "the connection is in use")
 		finishFrom(s, 40*ms, 2, 3)
 		later := connectionIdleTimeout + time.Second
-		s.servers[connected].prefillFree = later + 50*ms
+		s.servers[connected].prefillFreeAt = later + 50*ms
 		out, _ = s.Submit(later, fromHolder(2, 5, later))
 		Expect(out[0].Server).NotTo(Equal(connected), "it has timed out")
 	})
--- a/internal/sched/reading.go
+++ b/internal/sched/reading.go
@@ -10,8 +10,8 @@
 // it. Pauses and long queues cause outliers, so a sample changes the ratio by its logarithm,
 // and by a bounded amount.
 func (svc *service) learnPrefillRatio(r *run, first time.Duration) {
-	predicted := r.first
-	r.first = 0
+	predicted := r.predictedFirst
+	r.predictedFirst = 0
 	if !svc.Engine || predicted < minPrefillSample {
 		return
 	}
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -22,11 +22,11 @@
 	orphans  int
 	suspects *quarantine.Table
 	lapse    time.Duration // maximum time for which a server is still listed after its end
-	faults   faults
+	faults   requestFailures
 	copies   map[quarantine.Fingerprint]int    // number of runs
 	review   map[quarantine.Fingerprint]string // to be judged again, by fingerprint; the value is the service
 	versions map[string]*versions              // by service
-	notices  map[string]heardNotice            // by server
+	notices  map[string]serverNotice           // by server
 	bounds   rollout.Bounds
 	rollouts []rollout.Standing // steps since the last call of RolloutNews
 	out      []Decision         // decisions of the current call
@@ -68,8 +68,8 @@
 		policy: p, share: Share{Servers: 1, Limits: 1, Sends: 1},
 		services: map[string]*service{}, servers: map[string]*server{},
 		accounts: map[string]*bucket{}, runs: map[Key]*run{},
-		suspects: quarantine.NewTable(), faults: newFaults(), copies: map[quarantine.Fingerprint]int{},
-		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]heardNotice{}, bounds: rollout.DefaultBounds(),
+		suspects: quarantine.NewTable(), faults: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
+		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]serverNotice{}, bounds: rollout.DefaultBounds(),
 	}
 	s.SetLapse(DefaultLapse)
 	return s
@@ -128,7 +128,7 @@
 		s.refuse(now, w, Overload, s.retryAfter(now, w))
 	}
 	// Other hosts may still have servers that are not backing off from them.
-	if !placed && s.allRest(now, svc, w) && s.dequeue(r.Key) {
+	if !placed && s.allBackedOff(now, svc, w) && s.dequeue(r.Key) {
 		s.refuse(now, w, Overload, s.policy.RetryAfter)
 	}
 	refused := slices.ContainsFunc(s.out, func(d Decision) bool { return d.Key == r.Key })
@@ -139,7 +139,7 @@
 // reports whether it did. Requests that already wait were considered for the free
 // slots when these opened.
 func (s *Scheduler) placeArrival(now Time, svc *service, w *waiting) bool {
-	if s.offerTrial(now, svc, w) || s.offerNew(now, svc, w) {
+	if s.offerTrial(now, svc, w) || s.offerNewVersion(now, svc, w) {
 		svc.queue.remove(w.Key)
 		return true
 	}
@@ -250,7 +250,7 @@
 		}
 	}
 	if o.Result == Pace {
-		r.server.endTrial(r)
+		r.server.endIsolation(r)
 		s.suspects.Progress(now, r.req.Fingerprint)
 	}
 	if o.Result == Pace || o.Result == Stalled {
@@ -259,13 +259,13 @@
 	if o.Result.NotRun() {
 		s.refund(now, r)
 	}
-	if svc := s.services[r.req.Service]; svc != nil && r.counted && o.Result != OK {
+	if svc := s.services[r.req.Service]; svc != nil && r.countedAsServed && o.Result != OK {
 		svc.queue.priorityQueue(r.req.Priority).sizeStats.served[r.class].add(now, -1)
 	}
 	s.removeRun(r)
-	s.judgeSuspects(now)
+	s.reviewSuspects(now)
 	listed := s.servers[r.server.ID] == r.server
-	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.room(now, s.concurrencyLimit(svc, r.server)) {
+	if svc := s.services[r.req.Service]; svc != nil && listed && r.server.hasRoom(now, s.concurrencyLimit(svc, r.server)) {
 		if slices.Contains(svc.servers, r.server) {
 			s.fill(now, svc, []*server{r.server})
 		} else {
@@ -277,7 +277,7 @@
 
 // learnServer updates what is known of a run's server from the run's outcome.
 func (s *Scheduler) learnServer(now Time, r *run, o Outcome) {
-	if s.faults.own(now, r.req.Fingerprint, r.server.ID, o.Result) {
+	if s.faults.recordOutcome(now, r.req.Fingerprint, r.server.ID, o.Result) {
 		o.Result = Left // the outcome says nothing about the server
 	}
 	if (o.Result == OK || o.Result == Pace) && r.placed > r.server.endedAt {
@@ -291,15 +291,15 @@
 // all servers would look faulty, and the faulty one like the others.
 func (s *Scheduler) Blame(now Time, server string) {
 	if srv := s.servers[server]; srv != nil {
-		srv.failed(now)
+		srv.recordFailure(now)
 	}
 }
 
 // refund returns the units that an account was charged for a request that did not run.
 func (s *Scheduler) refund(now Time, r *run) {
-	if b := s.accounts[r.req.Account]; b != nil && !r.repaid {
+	if b := s.accounts[r.req.Account]; b != nil && !r.refunded {
 		b.credit(now, r.req.Units)
-		r.repaid = true
+		r.refunded = true
 	}
 }
 
@@ -308,7 +308,7 @@
 		s.orphans--
 	}
 	r.server.finish(r)
-	s.countCopy(r.req.Fingerprint, -1)
+	s.addCopies(r.req.Fingerprint, -1)
 	delete(s.runs, r.req.Key)
 }
 
@@ -332,10 +332,10 @@
 	if a.Elapsed < adoptedSendWindow {
 		srv.pacer.take(now)
 	}
-	r.ends = max(now, r.ends-a.Elapsed)
-	r.repaid = true // charged by the scheduler that placed it
+	r.predictedEnd = max(now, r.predictedEnd-a.Elapsed)
+	r.refunded = true // charged by the scheduler that placed it
 	s.runs[a.Key] = r
-	s.countCopy(a.Fingerprint, 1)
+	s.addCopies(a.Fingerprint, 1)
 }
 
 // HolderGone drops the waiting requests of a holder. Its runs stay booked until their
@@ -347,7 +347,7 @@
 	for k, r := range s.runs {
 		if k.Holder == holder && !r.orphan {
 			r.orphan = true
-			r.ends = max(now, r.ends) + orphanGrace
+			r.predictedEnd = max(now, r.predictedEnd) + orphanGrace
 			s.orphans++
 		}
 	}
@@ -358,8 +358,8 @@
 func (s *Scheduler) Tick(now Time) []Decision {
 	s.out = nil
 	s.expireOrphans(now)
-	s.judgeSuspects(now)
-	s.passTrials(now)
+	s.reviewSuspects(now)
+	s.advanceTrials(now)
 	for _, svc := range s.services {
 		if svc.queue.size > 0 {
 			s.fillTrial(now, svc)
@@ -375,7 +375,7 @@
 		return
 	}
 	for _, r := range s.runs {
-		if r.orphan && now >= r.ends {
+		if r.orphan && now >= r.predictedEnd {
 			s.removeRun(r)
 		}
 	}
