--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -11,36 +11,36 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// maxBuffered is the largest plain answer that is read whole before it is
-// passed on, so that one that breaks off can still be replaced.
-const maxBuffered = 256 << 10
+// maxBufferedBytes is the size up to which a plain answer is read completely before
+// it is forwarded, so that the request can still be retried if the answer is cut off.
+const maxBufferedBytes = 256 << 10
 
-// answer is a backend server's whole answer.
+// answer is a complete answer of a backend server.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readAnswer reads a body of up to maxBuffered bytes. whole is false when
-// there is more.
-func readAnswer(resp *http.Response) (a *answer, whole bool, err error) {
+// readAnswer reads a body of up to maxBufferedBytes. complete is false when the body is
+// longer.
+func readAnswer(resp *http.Response) (a *answer, complete bool, err error) {
 	a = &answer{status: resp.StatusCode, header: resp.Header}
-	if resp.ContentLength > maxBuffered {
+	if resp.ContentLength > maxBufferedBytes {
 		return a, false, nil
 	}
-	a.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
+	a.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
 		return a, false, err
 	}
-	if len(a.body) < maxBuffered {
+	if len(a.body) < maxBufferedBytes {
 		return a, true, nil
 	}
 	return a, false, nil
 }
 
-// pass writes a server's whole answer.
-func (x *exchange) pass(a *answer) {
+// forwardAnswer writes a complete answer to the caller.
+func (x *exchange) forwardAnswer(a *answer) {
 	x.copyHeader(a.status, a.header)
 	if x.r.Method != http.MethodHead && bodyAllowed(a.status) {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -48,18 +48,18 @@
 	x.w.WriteHeader(a.status)
 	_, err := x.w.Write(a.body)
 	if err != nil && x.r.Method != http.MethodHead {
-		x.note(event.RequestLeft, "before it read the answer")
+		x.recordEvent(event.RequestLeft, "before the answer was written")
 		return
 	}
 	x.h.Meter.Answered(x.route, a.status, time.Since(x.arrived))
-	x.note(event.RequestAnswered, strconv.Itoa(a.status))
+	x.recordEvent(event.RequestAnswered, strconv.Itoa(a.status))
 }
 
 func bodyAllowed(status int) bool {
 	return status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// copyHeader copies a server's header fields, without those of its connection.
+// copyHeader copies the header fields of a server's answer, except hop-by-hop fields.
 func (x *exchange) copyHeader(status int, from http.Header) {
 	h := x.w.Header()
 	for name, values := range from {
@@ -68,7 +68,7 @@
 		}
 	}
 	if _, ok := from["Content-Type"]; !ok && bodyAllowed(status) {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from detecting a type
 	}
 }
 
@@ -80,11 +80,11 @@
 	return false
 }
 
-// passLong passes on an answer that is too long to be read first. Broken off,
-// it must not look complete.
-func (t *attempt) passLong(ctx context.Context, resp *http.Response, a *answer) verdict {
+// forwardUnbuffered forwards an answer that is too long to be buffered. If the answer is
+// cut off, the connection to the caller is closed so that it does not look complete.
+func (t *attempt) forwardUnbuffered(ctx context.Context, resp *http.Response, a *answer) nextStep {
 	x := t.x
-	t.patience(ctx, 0)
+	t.setReadTimeout(ctx, 0)
 	x.copyHeader(a.status, a.header)
 	if resp.ContentLength >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
@@ -92,15 +92,15 @@
 	x.w.WriteHeader(a.status)
 	x.stream.started = true
 	if _, err := x.w.Write(a.body); err != nil {
-		return t.lost(ctx, err)
+		return t.handleLost(ctx, err)
 	}
 	if _, err := io.Copy(x.w, resp.Body); err != nil {
 		t.conn.Close()
 		go t.reportBroken()
-		x.abort("a long answer broke off: " + err.Error())
+		x.abort("an unbuffered answer was cut off: " + err.Error())
 	}
 	t.release(resp)
-	x.h.Places.Finish(t.place.ID, sched.OK, time.Since(t.sent), 0)
-	x.note(event.RequestAnswered, strconv.Itoa(a.status))
-	return final
+	x.h.Places.Finish(t.placement.ID, sched.OK, time.Since(t.sent), 0)
+	x.recordEvent(event.RequestAnswered, strconv.Itoa(a.status))
+	return done
 }
--- a/internal/entry/callerconn.go
+++ b/internal/entry/callerconn.go
@@ -6,24 +6,25 @@
 	"syscall"
 )
 
-// callerConn is the key of a caller's connection in the context of its requests.
-type callerConn struct{}
+// callerConnKey is the context key under which a request finds its caller's connection.
+type callerConnKey struct{}
 
-// WithConn keeps a caller's connection in the context of the requests that come by it. It
-// is the ConnContext of the callers' http.Server.
+// WithConn stores a caller's connection in the context of its requests. It is the
+// ConnContext of the http.Server for callers.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerConn{}, c)
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerLeft reports whether a caller's connection has been closed at its end.
+// callerDisconnected reports whether the caller has closed its end of the connection.
 //
-// Guard: a host that stood still reads requests whose callers have left meanwhile. The
-// context of such a request ends only when another goroutine has read the connection's end,
-// which may be after the request was sent to a server: work that nobody waits for.
+// A host that was paused reads requests whose callers have disconnected in the meantime.
+// The context of such a request is canceled only when another goroutine reads the end of
+// the connection, which may be after the request was sent to a server, which would then
+// run it for nobody.
 //
-// The descriptor is looked at without the lock of reads, which that goroutine holds.
-func callerLeft(ctx context.Context) bool {
-	c, ok := ctx.Value(callerConn{}).(syscall.Conn)
+// The descriptor is peeked at without the read lock, which that goroutine holds.
+func callerDisconnected(ctx context.Context) bool {
+	c, ok := ctx.Value(callerConnKey{}).(syscall.Conn)
 	if !ok {
 		return false
 	}
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -1,7 +1,7 @@
-// Package entry takes callers' requests over HTTP and holds each from its
-// first byte to its one final answer: it finds the route and account, asks the
-// scheduler for a place, sends the request to the backend server that it
-// names, and passes the answer on.
+// Package entry serves callers' requests over HTTP. For each request it looks up the
+// route and the client account, requests a placement from the scheduler, sends the
+// request to the backend server of the placement and forwards the answer. It holds the
+// request until the caller has its one final answer.
 package entry
 
 import (
@@ -12,46 +12,45 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Head is what the header of a caller's request tells.
+// Head is the information in the header of a caller's request.
 type Head struct {
-	ID           string        // of this attempt of the caller
-	Deadline     time.Duration // how long the caller waits, 0 when not said
+	ID           string        // of this attempt by the caller
+	Deadline     time.Duration // how long the caller waits, 0 if not given
 	Key          string        // of the client account
 	PromptTokens int
-	OutputTokens int // at most
-	OutputHint   int // the caller's estimate, 0 when not said
+	OutputTokens int // maximum
+	OutputHint   int // the caller's estimate, 0 if not given
 	HasTokens    bool
 	Parts        []sched.Part // of the prompt, in order
 }
 
-// ServerHead is what the header of a request to a backend server says beyond
-// what the caller sent.
+// ServerHead is the information that the header of a request to a backend server has
+// in addition to what the caller sent.
 type ServerHead struct {
-	Deadline  time.Duration // left
-	Instance  string        // the incarnation that is to run it
-	Account   string        // empty: the route is open to all
-	HideKey   bool          // the account's key is not passed on
-	LastEvent string        // resume behind this event; empty: as the caller sent it
+	Deadline  time.Duration // time left
+	Instance  string        // the server incarnation that is to run the request
+	Account   string        // empty on a public route
+	HideKey   bool          // do not forward the account's key
+	LastEvent string        // resume after this event; empty: as the caller sent it
 }
 
-// Answer is what the header of a backend server's answer tells.
+// Answer is the information in the header of a backend server's answer.
 type Answer struct {
-	ID     string // of the request that it answers, empty when not said
+	ID     string // of the answered request, empty if not given
 	NotRun bool   // the server states that it did not run the request
-	Sealed bool   // it bears the server's own signature
+	Sealed bool   // has the server's own signature
 	Notice notice.Notice
 }
 
 // Dialect reads and writes the header fields of the platform.
 type Dialect interface {
-	// ReadRequest reads a caller's header. Fields that cannot be read count as
-	// not said.
+	// ReadRequest reads a caller's header. Fields that cannot be parsed count as not given.
 	ReadRequest(h http.Header) Head
-	// WriteRequest turns a caller's header into one for a backend server.
+	// WriteRequest converts a caller's header to one for a backend server.
 	WriteRequest(caller http.Header, s ServerHead) http.Header
-	// ReadAnswer reads a backend server's header. What cannot be read of its notice counts as
-	// not said.
+	// ReadAnswer reads a backend server's header. Fields of its notice that cannot be
+	// parsed count as not given.
 	ReadAnswer(h http.Header) Answer
-	// WriteAnswer names the request in the header of an answer of our own.
+	// WriteAnswer sets the request's id in the header of an answer that this host generates.
 	WriteAnswer(h http.Header, id string)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -19,39 +19,39 @@
 	"github.com/gentianflow/gentianflow/internal/upstream"
 )
 
-// Places gives out permissions to send a request to a server.
+// Places provides placements: permissions to send a request once to a server.
 type Places interface {
 	Acquire(ctx context.Context, ask *dispatch.Ask) (dispatch.Place, error)
-	Finish(id uint64, result sched.Result, first, pace time.Duration)
+	Finish(id uint64, result sched.Result, timeToFirst, tokenTime time.Duration)
 	Blame(server string)
 	OnRevoke(id uint64, f func(*dispatch.Refused))
-	// Hear takes what an answer says of its server, Heard returns what one said last.
+	// Hear records the notice in a server's answer, Heard returns what a server has stated
+	// so far.
 	Hear(server string, n notice.Notice) (change notice.Change, changed bool)
 	Heard(server string) notice.Standing
 }
 
 const (
-	// configShare is the part of its time that a request waits for the first
-	// configuration of a host that has just started, configWait the longest. A fleet
-	// that starts anew has it within 0.4 s; a caller that is sent away is back after
-	// seconds, and has used up its try.
-	configShare = 0.3
-	configWait  = 1 * time.Second
-	// noConfigRetry is when a caller should come back to a host that knows no
-	// configuration yet. A host that reaches the store learns it at its start,
-	// so the store is away, as a rule for seconds; callers that have less time
-	// left come back sooner by themselves.
-	noConfigRetry = 2500 * time.Millisecond
-	// defaultWait bounds a request that gives no deadline on a route without
-	// a timeout.
-	defaultWait = 60 * time.Second
-	// writeGrace is how long past its deadline a caller may take to read.
+	// configWaitShare is the share of its time, and configWait the maximum time, that a
+	// request waits for the first configuration of a host that has just started. A
+	// restarted fleet has one within 0.4 s, while a refused caller comes back only after
+	// seconds and has used up an attempt.
+	configWaitShare = 0.3
+	configWait      = 1 * time.Second
+	// noConfigRetryAfter is the Retry-After of a host without a configuration. A host that
+	// reaches the store reads the configuration at startup, so the store is down, usually
+	// for seconds. Callers with less time left retry sooner on their own.
+	noConfigRetryAfter = 2500 * time.Millisecond
+	// defaultTimeout bounds a request without a deadline on a route without a timeout.
+	defaultTimeout = 60 * time.Second
+	// writeGrace is how long after the deadline a caller may still read its answer.
 	writeGrace = 500 * time.Millisecond
-	// leaveRetry sends the callers of a host that shuts down elsewhere.
-	leaveRetry = 50 * time.Millisecond
+	// shutdownRetryAfter is the Retry-After of a host that shuts down; callers retry at
+	// another host.
+	shutdownRetryAfter = 50 * time.Millisecond
 )
 
-// Sources are what a Handler works with.
+// Sources are the dependencies of a Handler.
 type Sources struct {
 	Routes  *routing.Current
 	Places  Places
@@ -61,25 +61,24 @@
 	Meter   *Meter
 }
 
-// Handler serves callers.
+// Handler is the HTTP handler for callers.
 type Handler struct {
 	Sources
 	leaving atomic.Bool  // answers close their connections
 	closed  atomic.Bool  // new requests are refused
-	active  atomic.Int64 // requests without their final answer
+	active  atomic.Int64 // requests without a final answer
 }
 
-// NewHandler makes the handler for callers.
+// NewHandler returns a handler for callers.
 func NewHandler(src Sources) *Handler { return &Handler{Sources: src} }
 
-// Leave makes answers close their connections, so that callers look up
-// another host.
+// Leave makes answers close their connections, so that callers look up another host.
 func (h *Handler) Leave() { h.leaving.Store(true) }
 
-// Refuse turns new requests away.
+// Refuse makes the handler refuse new requests.
 func (h *Handler) Refuse() { h.closed.Store(true) }
 
-// Active returns how many requests have no final answer yet.
+// Active returns the number of requests without a final answer.
 func (h *Handler) Active() int { return int(h.active.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -93,7 +92,7 @@
 	x.serve()
 }
 
-// exchange is one request of a caller on its way to its final answer.
+// exchange is the state of one caller's request until its final answer.
 type exchange struct {
 	h       *Handler
 	w       http.ResponseWriter
@@ -106,20 +105,20 @@
 	service     string
 	deadline    time.Time
 	body        []byte
-	fingerprint quarantine.Fingerprint // not known until the request is admitted
+	fingerprint quarantine.Fingerprint // zero until the request is admitted
 
-	sends  int            // to servers, whether they ran it or not
-	runs   int            // of sends, those that may have run it
-	tried  []string       // servers not to be asked again
-	repeat bool           // the next send comes on top of an earlier one
-	erred  string         // the server whose failure is kept
-	place  dispatch.Place // the newest one
-	notice string         // what its server had said when the request was sent there, for the log
-	kept   *answer        // a server's failure, for want of anything better
-	waited time.Duration  // for places
-	held   string         // what was held against the request as it was refused, for the log
-	first  time.Duration  // from the newest send to its first event or whole answer
-	stream stream
+	sends         int            // to servers, whether they ran the request or not
+	runs          int            // sends after which the request may have run
+	tried         []string       // servers not to be tried again
+	isRetry       bool           // the request was sent before
+	errorServer   string         // the server that sent errorAnswer
+	placement     dispatch.Place // the newest one
+	serverNotice  string         // the notice of its server at the time of the send, for the log
+	errorAnswer   *answer        // a server's error, forwarded if no other server answers
+	waited        time.Duration  // for placements
+	refusalDetail string         // the scheduler's detail of a refusal, for the log
+	timeToFirst   time.Duration  // from the newest send to its first event or complete answer
+	stream        stream
 }
 
 func (x *exchange) serve() {
@@ -129,33 +128,33 @@
 	}
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	// Guard: a caller that stops reading would hold the goroutine, and with it
-	// a server's place, for ever.
+	// Without a write deadline, a caller that stops reading would hold the goroutine and
+	// its placement at a server forever.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeGrace))
 	for {
-		asked := time.Now()
-		place, err := x.h.Places.Acquire(ctx, x.ask())
-		x.waited += time.Since(asked)
+		requested := time.Now()
+		placement, err := x.h.Places.Acquire(ctx, x.placementRequest())
+		x.waited += time.Since(requested)
 		if err != nil {
 			x.giveUp(ctx, err)
 			return
 		}
-		x.place = place
-		if x.try(ctx, place) == final {
+		x.placement = placement
+		if x.try(ctx, placement) == done {
 			return
 		}
 	}
 }
 
-// admit finds out who sends what where, and reads the body. Its errors are
-// told to the caller; nothing was sent.
+// admit determines route, account, service and deadline, and reads the body. Its errors
+// go to the caller; nothing was sent.
 func (x *exchange) admit() error {
 	if x.h.closed.Load() {
-		return failure.Retry(failure.Leaving, leaveRetry, "this host shuts down")
+		return failure.Retry(failure.Leaving, shutdownRetryAfter, "this host shuts down")
 	}
 	table := x.h.Routes.First(x.r.Context().Done(), x.configWait())
 	if table == nil {
-		return failure.Retry(failure.StoreDown, noConfigRetry, "no configuration is known yet")
+		return failure.Retry(failure.StoreDown, noConfigRetryAfter, "no configuration is known yet")
 	}
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
 	if x.route = table.Match(x.r.Host, path); x.route == nil {
@@ -171,31 +170,31 @@
 	if err := x.readBody(table.MaxBody); err != nil {
 		return err
 	}
-	x.fingerprint = quarantine.Of(x.r.Method, x.r.Host, x.r.RequestURI, x.caller(), x.body)
+	x.fingerprint = quarantine.Of(x.r.Method, x.r.Host, x.r.RequestURI, x.callerName(), x.body)
 	return nil
 }
 
-// caller names who sends the request: its account, which may have several keys, or on a
-// public route the key, if there is one.
-func (x *exchange) caller() string {
+// callerName identifies the sender of the request by its account, which may have several
+// keys, or on a public route by its key, if there is one.
+func (x *exchange) callerName() string {
 	if x.account != nil {
 		return x.account.Name
 	}
 	return x.head.Key
 }
 
-// configWait is how long the request may wait for a configuration.
+// configWait returns how long the request may wait for a configuration.
 func (x *exchange) configWait() time.Duration {
 	if x.head.Deadline <= 0 {
 		return configWait
 	}
-	return min(configWait, time.Duration(float64(x.head.Deadline)*configShare))
+	return min(configWait, time.Duration(float64(x.head.Deadline)*configWaitShare))
 }
 
 func (x *exchange) setDeadline() {
 	wait := x.route.Timeout
 	if wait <= 0 {
-		wait = defaultWait
+		wait = defaultTimeout
 	}
 	if x.head.Deadline > 0 {
 		wait = min(wait, x.head.Deadline)
@@ -203,16 +202,16 @@
 	x.deadline = x.arrived.Add(wait)
 }
 
-func (x *exchange) readBody(most int64) error {
+func (x *exchange) readBody(maxBytes int64) error {
 	if x.r.ContentLength == 0 {
 		return nil
 	}
-	if most > 0 && x.r.ContentLength > most {
-		return failure.New(failure.TooLarge, "the body is longer than %d bytes", most)
+	if maxBytes > 0 && x.r.ContentLength > maxBytes {
+		return failure.New(failure.TooLarge, "the body is longer than %d bytes", maxBytes)
 	}
 	body := x.r.Body
-	if most > 0 {
-		body = http.MaxBytesReader(x.w, body, most)
+	if maxBytes > 0 {
+		body = http.MaxBytesReader(x.w, body, maxBytes)
 	}
 	var err error
 	if n := x.r.ContentLength; n > 0 {
@@ -223,31 +222,31 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return failure.New(failure.TooLarge, "the body is longer than %d bytes", most)
+		return failure.New(failure.TooLarge, "the body is longer than %d bytes", maxBytes)
 	}
 	return failure.Wrap(failure.Withdrawn, err, "read the body")
 }
 
-// ask describes the request to the scheduler.
-func (x *exchange) ask() *dispatch.Ask {
+// placementRequest describes the request to the scheduler.
+func (x *exchange) placementRequest() *dispatch.Ask {
 	a := &dispatch.Ask{
 		Request: x.head.ID, Service: x.service, Priority: priority(x.route, x.account),
 		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), Parts: x.head.Parts,
 		Arrived: x.arrived, Aim: x.arrived.Add(x.route.Aim), Deadline: x.deadline,
-		MaxPause: x.route.GapAim, Repeat: x.repeat, Avoid: x.tried, Fingerprint: x.fingerprint,
+		MaxPause: x.route.GapAim, Repeat: x.isRetry, Avoid: x.tried, Fingerprint: x.fingerprint,
 		Route: x.route.Name, Repeatable: x.route.Repeatable(),
 	}
 	if x.account != nil {
 		a.Account = x.account.Name
 		if x.runs == 0 {
-			a.Units = x.units() // a repeat was charged before
+			a.Units = x.units() // a retry was charged before
 		}
 	}
 	now := time.Now()
 	since := x.arrived
 	if x.stream.events > 0 {
 		a.Aim = now // the caller waits for the next event
-		since = x.stream.newest
+		since = x.stream.newestAt
 	}
 	if x.route.Patience > 0 {
 		a.LeavesAt = since.Add(x.route.Patience)
@@ -255,22 +254,22 @@
 	return a
 }
 
-// routeRanks is above any priority of a route.
-const routeRanks = 1000
+// routePriorityLevels is the number of route priorities that are told apart.
+const routePriorityLevels = 1000
 
-// priority ranks a request by its account first and by its route within that.
-// Accounts often share one priority; without the second rank a bulk request of
-// such an account would wait in one line with its urgent ones (on the heaviest
-// days a third less of the urgent work was then in time).
+// priority orders requests by account, and by route within the same account priority.
+// Accounts often share one priority; without the route's priority, bulk requests of such
+// an account would share a priority queue with its urgent ones. Under the heaviest load, a
+// third less of the urgent requests were then in time.
 func priority(r *routing.Route, a *routing.Account) int {
-	first := r.Priority
+	accountPriority := r.Priority
 	if a != nil && a.Ranked {
-		first = a.Priority
+		accountPriority = a.Priority
 	}
-	return first*routeRanks + min(r.Priority, routeRanks-1)
+	return accountPriority*routePriorityLevels + min(r.Priority, routePriorityLevels-1)
 }
 
-// units is what the request costs its account.
+// units returns the quota units that the request costs its account.
 func (x *exchange) units() int {
 	switch {
 	case !x.account.InTokens:
@@ -281,7 +280,7 @@
 	return x.account.PlainUnits
 }
 
-// expectedOutput is the caller's estimate, within the most that it allows.
+// expectedOutput returns the caller's estimate of the output tokens, capped at its maximum.
 func (x *exchange) expectedOutput() int {
 	if x.head.OutputHint > 0 {
 		return min(x.head.OutputHint, x.head.OutputTokens)
@@ -289,10 +288,10 @@
 	return x.head.OutputTokens
 }
 
-// mayRunAgain reports whether the request may be run once more after a run
-// that did not answer.
-func (x *exchange) mayRunAgain() bool {
-	if x.runs >= x.route.MaxAttempts || time.Until(x.deadline) < minTry {
+// mayRetry reports whether the request may run again, or resume, after a run without a
+// complete answer.
+func (x *exchange) mayRetry() bool {
+	if x.runs >= x.route.MaxAttempts || time.Until(x.deadline) < minRetryTime {
 		return false
 	}
 	switch x.route.Kind {
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -14,31 +14,31 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// giveUp ends a request that gets no (further) place.
+// giveUp ends a request that gets no further placement.
 func (x *exchange) giveUp(ctx context.Context, err error) {
 	switch {
 	case x.r.Context().Err() != nil:
-		x.note(event.RequestLeft, "while it waited")
+		x.recordEvent(event.RequestLeft, "while the request waited for a placement")
 	case x.stream.started:
 		x.abort("no place to resume the stream: " + err.Error())
-	case x.kept != nil:
-		x.pass(x.kept)
+	case x.errorAnswer != nil:
+		x.forwardAnswer(x.errorAnswer)
 	case x.runs > 0 && ctx.Err() != nil:
 		x.fail(http.StatusGatewayTimeout, failure.Deadline, 0, "the deadline passed while it may have run")
 	case x.runs > 0 && quarantined(err) != nil:
-		why := quarantined(err)
-		x.held = why.Detail
-		x.fail(http.StatusBadGateway, failure.Quarantined, why.RetryAfter, "it may have run; "+why.Error())
+		refused := quarantined(err)
+		x.refusalDetail = refused.Detail
+		x.fail(http.StatusBadGateway, failure.Quarantined, refused.RetryAfter, "it may have run; "+refused.Error())
 	case x.runs > 0:
 		x.fail(http.StatusBadGateway, failure.ServerLost, 0, "its server gave no answer; it may have run")
 	case ctx.Err() != nil:
 		x.fail(http.StatusServiceUnavailable, failure.Deadline, minRetryAfter, "no place was found in time")
 	default:
-		x.refuseAsk(err)
+		x.writeRefusal(err)
 	}
 }
 
-// quarantined returns the refusal of a request that is in quarantine, nil for others.
+// quarantined returns the refusal of a quarantined request, nil for other errors.
 func quarantined(err error) *dispatch.Refused {
 	var refused *dispatch.Refused
 	if errors.As(err, &refused) && refused.Reason == sched.Quarantined {
@@ -47,17 +47,17 @@
 	return nil
 }
 
-// minRetryAfter is the least that a refused caller is told to wait.
+// minRetryAfter is the shortest Retry-After of a refusal.
 const minRetryAfter = 100 * time.Millisecond
 
-// refuseAsk tells the caller what the scheduler said. Nothing ran.
-func (x *exchange) refuseAsk(err error) {
+// writeRefusal answers a request that the scheduler refused. Nothing ran.
+func (x *exchange) writeRefusal(err error) {
 	var refused *dispatch.Refused
 	if !errors.As(err, &refused) {
 		x.fail(http.StatusServiceUnavailable, failure.Overload, minRetryAfter, err.Error())
 		return
 	}
-	x.held = refused.Detail
+	x.refusalDetail = refused.Detail
 	status, code := http.StatusServiceUnavailable, failure.Overload
 	switch refused.Reason {
 	case sched.Quota:
@@ -70,28 +70,28 @@
 	x.fail(status, code, max(minRetryAfter, refused.RetryAfter), refused.Error())
 }
 
-// refuse ends a request that was not admitted.
+// refuse answers a request that was not admitted.
 func (x *exchange) refuse(err error) {
 	e := failure.From(err)
 	if e.Code == failure.Withdrawn {
-		x.note(event.RequestLeft, "while it was read")
+		x.recordEvent(event.RequestLeft, "while the request was read")
 		x.abort(e.Message)
 		return
 	}
 	x.fail(e.Status(), e.Code, e.RetryAfter, e.Message)
 }
 
-// failureBody is the body of an answer of our own.
+// failureBody is the body of an error answer that this host generates.
 type failureBody struct {
 	Code    failure.Code `json:"code"`
 	Message string       `json:"message"`
 }
 
-// fail writes an answer of our own. A retryAfter of 0 leaves it out.
+// fail writes an error answer. A retryAfter of 0 omits the Retry-After field.
 func (x *exchange) fail(status int, code failure.Code, retryAfter time.Duration, message string) {
 	body, err := json.Marshal(failureBody{code, message})
 	if err != nil {
-		body = []byte(`{}`) // two strings always marshal
+		body = []byte(`{}`) // cannot happen: two strings always marshal
 	}
 	h := x.w.Header()
 	x.h.Dialect.WriteAnswer(h, x.head.ID)
@@ -101,31 +101,31 @@
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	x.w.WriteHeader(status)
-	x.note(event.RequestRefused, strconv.Itoa(status)+" "+string(code)+": "+message)
+	x.recordEvent(event.RequestRefused, strconv.Itoa(status)+" "+string(code)+": "+message)
 	x.h.Meter.Refused(status, code)
-	_, _ = x.w.Write(body) // a caller that has left needs no answer
+	_, _ = x.w.Write(body) // fails if the caller has disconnected
 }
 
-// abort closes the connection, so that an answer that has begun does not look
+// abort closes the caller's connection, so that a partly written answer does not look
 // complete.
-func (x *exchange) abort(why string) {
-	x.note(event.RequestCut, why)
+func (x *exchange) abort(reason string) {
+	x.recordEvent(event.RequestCut, reason)
 	panic(http.ErrAbortHandler)
 }
 
-// note writes the line that explains the request's end.
-func (x *exchange) note(code event.Code, detail string) {
-	f := event.Fields{Request: x.head.ID, Service: x.service, Server: x.place.Server, Detail: detail}
+// recordEvent records an event of the request with the state of its exchange.
+func (x *exchange) recordEvent(code event.Code, detail string) {
+	f := event.Fields{Request: x.head.ID, Service: x.service, Server: x.placement.Server, Detail: detail}
 	if x.route != nil {
 		f.Detail += " route=" + x.route.Name + " aim=" + milliseconds(x.route.Aim)
 	}
 	if x.account != nil {
 		f.Detail += " account=" + x.account.Name + " units=" + strconv.Itoa(x.units())
 	}
-	f.Detail += " waited=" + milliseconds(x.waited) + " first=" + milliseconds(x.first) + " after=" + milliseconds(time.Since(x.arrived)) +
+	f.Detail += " waited=" + milliseconds(x.waited) + " first=" + milliseconds(x.timeToFirst) + " after=" + milliseconds(time.Since(x.arrived)) +
 		" sends=" + strconv.Itoa(x.sends) + " runs=" + strconv.Itoa(x.runs)
-	if x.place.Server != "" {
-		f.Detail += " " + placedBy(x.place) + x.notice
+	if x.placement.Server != "" {
+		f.Detail += " " + placementFields(x.placement) + x.serverNotice
 	}
 	if x.head.HasTokens {
 		f.Detail += " prompt=" + strconv.Itoa(x.head.PromptTokens) + " output=" + strconv.Itoa(x.head.OutputTokens) + " hint=" + strconv.Itoa(x.head.OutputHint)
@@ -133,17 +133,18 @@
 	if x.fingerprint.Known() {
 		f.Detail += " fingerprint=" + x.fingerprint.String()
 	}
-	if x.held != "" {
-		f.Detail += " " + x.held
+	if x.refusalDetail != "" {
+		f.Detail += " " + x.refusalDetail
 	}
 	if x.stream.events > 1 {
-		f.Detail += " pause=" + milliseconds(x.stream.pause) + " most=" + milliseconds(x.route.GapAim)
+		f.Detail += " pause=" + milliseconds(x.stream.maxPause) + " most=" + milliseconds(x.route.GapAim)
 	}
 	x.h.Events.Record(code, f)
 }
 
-// placedBy tells who placed the newest run, and how old this host's list of servers was.
-func placedBy(p dispatch.Place) string {
+// placementFields formats which host gave a placement and how old this host's list of
+// servers was.
+func placementFields(p dispatch.Place) string {
 	by := "home"
 	if p.Alone {
 		by = "self"
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -7,8 +7,8 @@
 	"github.com/gentianflow/gentianflow/internal/notice"
 )
 
-// hear takes what an answer says of its server.
-func (x *exchange) hear(server string, n notice.Notice) {
+// recordNotice records the notice in a server's answer and the events of its changes.
+func (x *exchange) recordNotice(server string, n notice.Notice) {
 	change, changed := x.h.Places.Hear(server, n)
 	if !changed {
 		return
@@ -19,13 +19,13 @@
 		x.h.Events.Record(event.ServerLimit, f)
 	}
 	if change.Leaves() {
-		f.Detail = "by an answer"
+		f.Detail = "in an answer to this host"
 		x.h.Events.Record(event.ServerLeaves, f)
 	}
 }
 
-// describe tells what a server has said of itself, for the lines of requests.
-func describe(now time.Time, s notice.Standing) string {
+// noticeFields formats a server's notice for the events of requests.
+func noticeFields(now time.Time, s notice.Standing) string {
 	text := ""
 	if s.Limit.Named {
 		text += " limit=" + s.Limit.String()
@@ -33,8 +33,8 @@
 	if s.Leaving {
 		text += " leaving"
 	}
-	if rest := s.Rest(now); rest > 0 {
-		text += " rests=" + milliseconds(rest)
+	if backoff := s.Rest(now); backoff > 0 {
+		text += " rests=" + milliseconds(backoff)
 	}
 	if text != "" {
 		text += " said=" + milliseconds(s.Age(now))
--- a/internal/entry/priority_test.go
+++ b/internal/entry/priority_test.go
@@ -20,15 +20,15 @@
 	second := &routing.Account{Priority: 1, Ranked: true}
 	plain := &routing.Account{}
 
-	// Parents wait half a second for an appraisal while chats of the same hour
-	// run: all accounts have the same priority, which alone ranked requests.
-	It("ranks the routes of one account", func() {
+	// If only the account's priority counted, all requests of accounts with the same
+	// priority would be equal, and urgent requests would wait half a second behind others.
+	It("orders requests of one account by route", func() {
 		Expect(priority(urgent, second)).To(BeNumerically("<", priority(bulk, second)))
 	})
-	It("ranks the account before the route", func() {
+	It("puts the account's priority before the route's", func() {
 		Expect(priority(bulk, first)).To(BeNumerically("<", priority(urgent, second)))
 	})
-	It("takes the route's where the account has none", func() {
+	It("is the route's when the account has none", func() {
 		Expect(priority(urgent, plain)).To(BeNumerically("<", priority(urgent, second)))
 		Expect(priority(bulk, nil)).To(Equal(priority(bulk, plain)))
 	})
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -9,26 +9,26 @@
 	"github.com/gentianflow/gentianflow/internal/upstream"
 )
 
-// How long a server may be silent while it works on a request, and what tells one that is
-// gone from one that is busy.
+// Read timeouts while a server runs a request, and the check that tells a server that is
+// down from one that is busy.
 
-// silence is how long the server may stay silent while another could answer,
-// 0 when there is no use in giving up before the deadline.
-func (t *attempt) silence() time.Duration {
+// readTimeout returns how long the server may send nothing before the request is retried
+// elsewhere. It is 0 when the request cannot be retried, so that it waits until its deadline.
+func (t *attempt) readTimeout() time.Duration {
 	x := t.x
 	switch {
-	case !x.mayRunAgain():
+	case !x.mayRetry():
 		return 0
 	case x.route.Kind == routing.Safe:
-		return safeSilence
+		return safeCallTimeout
 	case x.stream.events > 0:
-		return eventSilence
+		return nextEventTimeout
 	}
-	return firstSilence
+	return firstEventTimeout
 }
 
-// patience bounds the next read by d, or by the deadline alone when d is 0.
-func (t *attempt) patience(ctx context.Context, d time.Duration) {
+// setReadTimeout bounds the next read by d, or only by the deadline when d is 0.
+func (t *attempt) setReadTimeout(ctx context.Context, d time.Duration) {
 	until := t.x.deadline
 	if d > 0 {
 		until = minTime(until, time.Now().Add(d))
@@ -36,41 +36,40 @@
 	if ctx.Err() == nil {
 		t.conn.SetReadDeadline(until)
 	}
-	if t.stall != nil {
-		t.stall.Reset(stallCheck)
+	if t.stallTimer != nil {
+		t.stallTimer.Reset(stallCheckDelay)
 	}
 }
 
-// watchStall begins to watch a stream for silence.
+// watchStall starts the stall check of a stream.
 //
-// Guard: a server that loses power or is cut off leaves its connections open.
-// Its streams would be given up after seconds only, and meanwhile others would
-// be placed there. A new connection tells it from one that is merely busy: that
-// one accepts within a millisecond. Two attempts in a row must fail, since one
-// may lose its packet.
+// A server that loses power or network leaves its connections open. Its streams would time
+// out only after seconds, and the scheduler would place more requests there until then. A
+// new connection tells such a server from a busy one, which accepts within a millisecond.
+// Two attempts in a row must fail, since a packet of one may be lost.
 func (t *attempt) watchStall() {
 	if t.x.route.Kind != routing.Streaming {
 		return
 	}
-	again := t.x.mayRunAgain()
-	t.stall = time.AfterFunc(stallCheck, func() {
-		for range stallDials {
-			if upstream.Answers(t.place.Address, stallDial) {
+	retryable := t.x.mayRetry()
+	t.stallTimer = time.AfterFunc(stallCheckDelay, func() {
+		for range stallDialAttempts {
+			if upstream.Answers(t.placement.Address, stallDialTimeout) {
 				return
 			}
 		}
-		if !again {
-			t.x.h.Places.Finish(t.place.ID, sched.Stalled, 0, 0)
+		if !retryable {
+			t.x.h.Places.Finish(t.placement.ID, sched.Stalled, 0, 0)
 			return
 		}
-		if t.phase.CompareAndSwap(inExchange, stalled) {
+		if t.phase.CompareAndSwap(inProgress, stalled) {
 			t.conn.Close()
 		}
 	})
 }
 
-func (t *attempt) endStall() {
-	if t.stall != nil {
-		t.stall.Stop()
+func (t *attempt) stopStallWatch() {
+	if t.stallTimer != nil {
+		t.stallTimer.Stop()
 	}
 }
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -14,59 +14,60 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// errNoSeal is an answer that looks like a success but is not the server's.
-var errNoSeal = failure.New(failure.ServerError, "the answer bears no signature of its server")
+// errUnsigned is the error of an answer that looks successful but is not the server's own.
+var errUnsigned = failure.New(failure.ServerError, "the answer has no signature of its server")
 
-// stream is what the caller has of a streamed answer, over all its runs.
+// stream is the state of a streamed answer at the caller, over all runs.
 type stream struct {
-	started bool          // the head has been written
-	events  int           // passed on whole
-	lastID  string        // of the newest event
-	newest  time.Time     // when it was passed on
-	pause   time.Duration // the longest between events, over all runs
+	started  bool          // the header has been written
+	events   int           // forwarded
+	lastID   string        // of the newest event with an id
+	newestAt time.Time     // when the newest event was forwarded
+	maxPause time.Duration // the longest between events, over all runs
 }
 
 const (
-	eventBuffer = 4 << 10
-	maxEvent    = 1 << 20
-	// paceFirst is when the pace of a stream is first reported while it lasts, and again
-	// after twice as long each time: long streams would otherwise teach their server's
-	// speed too late. Reported evenly, 600 streams tell a home as much each second as all
-	// requests ask of it.
-	paceFirst = 700 * time.Millisecond
+	eventBufferBytes = 4 << 10
+	maxEventBytes    = 1 << 20
+	// tokenTimeReportDelay is how long after its first event a running stream first reports
+	// its time per output token to the scheduler; otherwise long streams would report their
+	// server's speed too late. The delay doubles with each report: at even intervals, 600
+	// streams would send the home (the host that runs the scheduler) as much each second as
+	// all placement requests do.
+	tokenTimeReportDelay = 700 * time.Millisecond
 )
 
 var endOfEvent = []byte("\n\n")
 
-// passStream passes a streamed answer on, whole events only: a server that
-// stops in the middle of one is replaced by another run that goes on behind
-// the newest whole event, within the same answer.
-func (t *attempt) passStream(ctx context.Context, resp *http.Response) verdict {
+// forwardStream forwards a streamed answer in complete events only. If a server stops in
+// the middle of an event, another run resumes after the newest complete event, within the
+// same answer.
+func (t *attempt) forwardStream(ctx context.Context, resp *http.Response) nextStep {
 	x := t.x
-	stride := x.stride()
-	firstEvents := x.stream.events
-	var firstAt, report time.Time // report: when the pace is told next
-	buf := make([]byte, 0, eventBuffer)
+	tokensPerEvent := x.tokensPerEvent()
+	earlierEvents := x.stream.events
+	var firstAt, nextReport time.Time // nextReport: of the time per token
+	buf := make([]byte, 0, eventBufferBytes)
 	for {
-		t.patience(ctx, t.silence())
+		t.setReadTimeout(ctx, t.readTimeout())
 		n, err := readMore(resp.Body, &buf)
 		if n > 0 {
-			whole := bytes.LastIndex(buf, endOfEvent) + len(endOfEvent)
-			if whole >= len(endOfEvent) {
-				if werr := x.passEvents(resp, buf[:whole]); werr != nil {
-					return t.lost(ctx, werr)
+			complete := bytes.LastIndex(buf, endOfEvent) + len(endOfEvent)
+			if complete >= len(endOfEvent) {
+				if werr := x.forwardEvents(resp, buf[:complete]); werr != nil {
+					return t.handleLost(ctx, werr)
 				}
-				buf = append(buf[:0], buf[whole:]...)
+				buf = append(buf[:0], buf[complete:]...)
 				now := time.Now()
 				if firstAt.IsZero() {
-					t.begun.Store(true)
-					firstAt, report = now, now.Add(paceFirst)
-					t.first = now.Sub(t.sent)
-					x.first = t.first
+					t.started.Store(true)
+					firstAt, nextReport = now, now.Add(tokenTimeReportDelay)
+					t.timeToFirst = now.Sub(t.sent)
+					x.timeToFirst = t.timeToFirst
 				}
-				if now.After(report) {
-					report = now.Add(now.Sub(firstAt))
-					x.h.Places.Finish(t.place.ID, sched.Pace, t.first, pace(now.Sub(firstAt), x.stream.events-firstEvents, stride))
+				if now.After(nextReport) {
+					nextReport = now.Add(now.Sub(firstAt))
+					x.h.Places.Finish(t.placement.ID, sched.Pace, t.timeToFirst, tokenTime(now.Sub(firstAt), x.stream.events-earlierEvents, tokensPerEvent))
 				}
 			}
 		}
@@ -74,24 +75,24 @@
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
-			return t.lost(ctx, err)
+			return t.handleLost(ctx, err)
 		}
 		t.release(resp)
-		took := time.Duration(0)
+		perToken := time.Duration(0)
 		if !firstAt.IsZero() {
-			took = pace(time.Since(firstAt), x.stream.events-firstEvents, stride)
+			perToken = tokenTime(time.Since(firstAt), x.stream.events-earlierEvents, tokensPerEvent)
 		}
-		x.h.Places.Finish(t.place.ID, sched.OK, t.first, took)
+		x.h.Places.Finish(t.placement.ID, sched.OK, t.timeToFirst, perToken)
 		return x.endStream(resp, buf)
 	}
 }
 
-// readMore reads what has arrived behind what is in buf.
+// readMore appends the available data to buf, and grows buf when it is full.
 func readMore(r io.Reader, buf *[]byte) (int, error) {
 	b := *buf
 	if len(b) == cap(b) {
-		if len(b) >= maxEvent {
-			return 0, failure.New(failure.ServerError, "an event is longer than %d bytes", maxEvent)
+		if len(b) >= maxEventBytes {
+			return 0, failure.New(failure.ServerError, "an event is longer than %d bytes", maxEventBytes)
 		}
 		b = append(make([]byte, 0, 2*cap(b)), b...)
 	}
@@ -100,17 +101,17 @@
 	return n, err
 }
 
-// pace is the time between output tokens over a number of events, 0 when there
-// are too few to tell.
-func pace(d time.Duration, events, stride int) time.Duration {
+// tokenTime returns the time per output token over a number of events, 0 when there are
+// too few events.
+func tokenTime(d time.Duration, events, tokensPerEvent int) time.Duration {
 	if events < 3 {
 		return 0
 	}
-	return d / time.Duration((events-1)*stride)
+	return d / time.Duration((events-1)*tokensPerEvent)
 }
 
-// stride is the number of tokens in an event.
-func (x *exchange) stride() int {
+// tokensPerEvent returns the number of tokens in an event of the service.
+func (x *exchange) tokensPerEvent() int {
 	table := x.h.Routes.Get()
 	for _, s := range table.Services {
 		if s.Name == x.service && s.Stride > 0 {
@@ -120,8 +121,8 @@
 	return 1
 }
 
-// passEvents writes whole events and remembers how far the caller is.
-func (x *exchange) passEvents(resp *http.Response, events []byte) error {
+// forwardEvents writes complete events and records how far the caller is.
+func (x *exchange) forwardEvents(resp *http.Response, events []byte) error {
 	x.beginStream(resp)
 	if _, err := x.w.Write(events); err != nil {
 		return failure.Wrap(failure.Withdrawn, err, "write events")
@@ -131,45 +132,45 @@
 	}
 	now := time.Now()
 	if x.stream.events > 0 {
-		x.stream.pause = max(x.stream.pause, now.Sub(x.stream.newest))
+		x.stream.maxPause = max(x.stream.maxPause, now.Sub(x.stream.newestAt))
 	}
 	x.stream.events += bytes.Count(events, endOfEvent)
-	x.stream.newest = now
+	x.stream.newestAt = now
 	if id := lastID(events); id != "" {
 		x.stream.lastID = id
 	}
 	return nil
 }
 
-// beginStream writes the head of the first run's answer, once.
+// beginStream writes the header of the first run's answer, once.
 func (x *exchange) beginStream(resp *http.Response) {
 	if x.stream.started {
 		return
 	}
 	x.stream.started = true
-	x.h.Meter.Started(x.route, time.Since(x.arrived))
+	x.h.Meter.StreamStarted(x.route, time.Since(x.arrived))
 	x.copyHeader(resp.StatusCode, resp.Header)
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// endStream ends an answer whose last event has arrived. rest is what follows
-// it, which is the server's too.
-func (x *exchange) endStream(resp *http.Response, rest []byte) verdict {
+// endStream ends an answer whose last event has been forwarded. tail is what the server
+// sent after that event.
+func (x *exchange) endStream(resp *http.Response, tail []byte) nextStep {
 	x.beginStream(resp)
-	if len(rest) > 0 {
-		if _, err := x.w.Write(rest); err != nil {
-			x.note(event.RequestLeft, "before it read the end")
-			return final
+	if len(tail) > 0 {
+		if _, err := x.w.Write(tail); err != nil {
+			x.recordEvent(event.RequestLeft, "before the end of the stream was written")
+			return done
 		}
 	}
 	x.h.Meter.Answered(x.route, resp.StatusCode, time.Since(x.arrived))
-	x.note(event.RequestAnswered, strconv.Itoa(resp.StatusCode)+" events="+strconv.Itoa(x.stream.events))
-	return final
+	x.recordEvent(event.RequestAnswered, strconv.Itoa(resp.StatusCode)+" events="+strconv.Itoa(x.stream.events))
+	return done
 }
 
 var idField = []byte("id:")
 
-// lastID finds the id of the newest event that has one.
+// lastID returns the id of the newest event that has one.
 func lastID(events []byte) string {
 	for end := len(events); end > 0; {
 		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -16,172 +16,169 @@
 	"github.com/gentianflow/gentianflow/internal/upstream"
 )
 
-// verdict tells whether a try ended the request.
-type verdict bool
+// nextStep is what to do after an attempt: retry the request or not.
+type nextStep bool
 
 const (
-	again verdict = false
-	final verdict = true
+	retry nextStep = false
+	done  nextStep = true
 )
 
 const (
-	// minTry is the least time in which a further run can still help.
-	minTry = 30 * time.Millisecond
-	// maxSends bounds the servers that one request is sent to, whether they
-	// ran it or not: each send is an arrival there.
+	// minRetryTime is the shortest remaining time in which another run can still succeed.
+	minRetryTime = 30 * time.Millisecond
+	// maxSends bounds the servers that one request is sent to, whether they run it or not,
+	// since each send counts as an arrival there.
 	maxSends = 3
-	// safeSilence is how long a server may leave a safe plain call without an
-	// answer while another may be tried: twice the longest that such calls
-	// take at a sound server.
-	safeSilence = 220 * time.Millisecond
-	// firstSilence and eventSilence are the same for a resumable stream,
-	// before its first event and between events. Callers give a stream up
-	// after a pause of 4 s, and a run elsewhere needs about 1 s to begin.
-	firstSilence = 3 * time.Second
-	eventSilence = 2 * time.Second
-	// stallCheck is how long a server may say nothing before it is asked for a
-	// new connection. Sound engines pause 0.5 s between events at most, under
-	// full load; one that is gone or cut off does not answer at all.
-	stallCheck = 700 * time.Millisecond
-	stallDial  = 300 * time.Millisecond
-	stallDials = 2
-	// minDial is the least time a connection attempt gets.
-	minDial = 60 * time.Millisecond
-	maxDial = 300 * time.Millisecond
+	// safeCallTimeout is how long a server may take to answer a safe plain call while
+	// another server can be tried: twice the longest time of such a call at a healthy server.
+	safeCallTimeout = 220 * time.Millisecond
+	// firstEventTimeout and nextEventTimeout are the same for a resumable stream, before
+	// its first event and between events. Callers abandon a stream after a pause of 4 s,
+	// and a run at another server needs about 1 s to begin.
+	firstEventTimeout = 3 * time.Second
+	nextEventTimeout  = 2 * time.Second
+	// stallCheckDelay is how long a server may send nothing before the stall check tries a
+	// new connection. Healthy engines pause at most 0.5 s between events, under full load;
+	// a server that is down or cut off does not answer at all.
+	stallCheckDelay   = 700 * time.Millisecond
+	stallDialTimeout  = 300 * time.Millisecond
+	stallDialAttempts = 2
+	// minDialTimeout and maxDialTimeout bound the time for a connection attempt.
+	minDialTimeout = 60 * time.Millisecond
+	maxDialTimeout = 300 * time.Millisecond
 )
 
-// attempt is one send to one server.
+// attempt is one send of a request to one server.
 type attempt struct {
-	x     *exchange
-	place dispatch.Place
-	conn  *upstream.Conn
-	stop  func() bool // ends the watch that closes conn when the caller leaves
-	sent  time.Time
-	first time.Duration     // to the first event or the whole answer
-	stall *time.Timer       // watches a stream for silence; nil for plain calls
-	phase atomic.Int32      // inExchange, then stalled, revoked or over
-	begun atomic.Bool       // the first event has arrived
-	why   *dispatch.Refused // of a revoked place; phase guards it
+	x               *exchange
+	placement       dispatch.Place
+	conn            *upstream.Conn
+	stopCallerWatch func() bool // stops closing conn when the caller leaves or the deadline passes
+	sent            time.Time
+	timeToFirst     time.Duration     // to the first event or the complete answer
+	stallTimer      *time.Timer       // runs the stall check; nil for plain calls
+	phase           atomic.Int32      // inProgress, then stalled, revoked or ended
+	started         atomic.Bool       // the first event has arrived
+	revocation      *dispatch.Refused // why the placement was revoked; phase guards it
 }
 
-// The phases of an attempt. Who moves it on from inExchange owns the
-// connection's end.
+// The phases of an attempt. Whoever changes the phase from inProgress decides how the
+// connection ends.
 const (
-	inExchange int32 = iota
-	stalled          // its server does not answer new connections
+	inProgress int32 = iota
+	stalled          // the server does not accept new connections
 	revoked          // the request was put in quarantine
-	over
+	ended
 )
 
-// try sends the request to a server and deals with what comes back. It is the
-// only place from which a request reaches a server.
-func (x *exchange) try(ctx context.Context, place dispatch.Place) verdict {
-	t := &attempt{x: x, place: place}
-	if callerLeft(x.r.Context()) {
-		x.h.Places.Finish(place.ID, sched.Unused, 0, 0)
-		x.note(event.RequestLeft, "before it was sent")
-		return final
-	}
-	dial, cancel := context.WithTimeout(ctx, min(maxDial, max(minDial, x.route.Aim/2)))
-	conn, err := x.h.Pool.Get(dial, t.server())
+// try sends the request to a server and handles the answer. Requests reach servers only
+// through it.
+func (x *exchange) try(ctx context.Context, placement dispatch.Place) nextStep {
+	t := &attempt{x: x, placement: placement}
+	if callerDisconnected(x.r.Context()) {
+		x.h.Places.Finish(placement.ID, sched.Unused, 0, 0)
+		x.recordEvent(event.RequestLeft, "before the request was sent")
+		return done
+	}
+	dialCtx, cancel := context.WithTimeout(ctx, min(maxDialTimeout, max(minDialTimeout, x.route.Aim/2)))
+	conn, err := x.h.Pool.Get(dialCtx, t.server())
 	cancel()
 	if err != nil {
-		return t.unreachable(ctx, err)
+		return t.handleUnreachable(ctx, err)
 	}
 	t.conn = conn
-	if said := x.h.Places.Heard(place.Server); said.Leaving || said.Rest(time.Now()) > 0 {
-		return t.holdBack(said)
+	if state := x.h.Places.Heard(placement.Server); state.Leaving || state.Rest(time.Now()) > 0 {
+		return t.returnPlacement(state)
 	}
-	// Guard: a server goes on with a request until its connection closes, so
-	// the connection ends as soon as the caller leaves or time runs out.
-	t.stop = context.AfterFunc(ctx, conn.Close)
-	defer t.stop()
+	// A server continues a request until its connection closes, so the connection is
+	// closed as soon as the caller leaves or the deadline passes.
+	t.stopCallerWatch = context.AfterFunc(ctx, conn.Close)
+	defer t.stopCallerWatch()
 	return t.run(ctx)
 }
 
-// holdBack gives the place back and asks for another one.
+// returnPlacement returns the placement unused, so that the request gets another one.
 //
-// Guard: between a place and its use lie a dial and other answers of the same server, one of
-// which may have said meanwhile that it leaves or wants rest.
-func (t *attempt) holdBack(said notice.Standing) verdict {
+// Between a placement and its use there is time for a dial and for other answers of the
+// same server, which may have announced that it leaves or asked for backoff.
+func (t *attempt) returnPlacement(state notice.Standing) nextStep {
 	x := t.x
 	t.conn.Close()
 	result := sched.Unused
-	if said.Leaving {
+	if state.Leaving {
 		result = sched.Gone
 	}
-	x.h.Places.Finish(t.place.ID, result, 0, 0)
-	x.tried = append(x.tried, t.place.Server)
-	x.notice = describe(time.Now(), said)
-	x.note(event.SendHeldBack, "nothing was sent")
+	x.h.Places.Finish(t.placement.ID, result, 0, 0)
+	x.tried = append(x.tried, t.placement.Server)
+	x.serverNotice = noticeFields(time.Now(), state)
+	x.recordEvent(event.SendHeldBack, "nothing was sent")
 	x.h.Meter.HeldBack()
-	return again
+	return retry
 }
 
 func (t *attempt) server() upstream.Server {
-	return upstream.Server{ID: t.place.Server, Address: t.place.Address}
+	return upstream.Server{ID: t.placement.Server, Address: t.placement.Address}
 }
 
-// release keeps the connection of an exchange that is over.
+// release returns the connection to the pool after a complete answer.
 //
-// Guard: the watch on the caller must end first. Otherwise a caller that
-// leaves while it reads its answer would close the connection under the next
-// request on it, which may not be sent again.
-//
-// The same holds for the watch on silence.
+// The caller watch must stop first. Otherwise a caller that leaves while it reads its
+// answer would close the connection under the next request on it, which may not be safe to
+// retry. The same holds for the stall check.
 func (t *attempt) release(resp *http.Response) {
-	if t.stop() && t.phase.CompareAndSwap(inExchange, over) {
+	if t.stopCallerWatch() && t.phase.CompareAndSwap(inProgress, ended) {
 		t.conn.Release(resp)
 		return
 	}
 	t.conn.Close()
 }
 
-// unreachable goes on to another server: nothing was sent.
-func (t *attempt) unreachable(ctx context.Context, err error) verdict {
+// handleUnreachable makes the request try another server: nothing was sent.
+func (t *attempt) handleUnreachable(ctx context.Context, err error) nextStep {
 	x := t.x
 	if ctx.Err() != nil {
-		x.h.Places.Finish(t.place.ID, sched.Unused, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.Unused, 0, 0)
 	} else {
-		x.h.Places.Finish(t.place.ID, sched.Unreachable, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.Unreachable, 0, 0)
 	}
-	x.tried = append(x.tried, t.place.Server)
-	x.note(event.ServerUnreachable, err.Error())
-	return again // the scheduler refuses when no other server is left
+	x.tried = append(x.tried, t.placement.Server)
+	x.recordEvent(event.ServerUnreachable, err.Error())
+	return retry // the scheduler refuses if no other server is left
 }
 
-func (t *attempt) run(ctx context.Context) verdict {
+func (t *attempt) run(ctx context.Context) nextStep {
 	x := t.x
 	t.sent = time.Now()
-	x.notice = describe(t.sent, x.h.Places.Heard(t.place.Server))
-	sent, err := t.conn.Send(x.request(t.place, t.sent), x.deadline)
+	x.serverNotice = noticeFields(t.sent, x.h.Places.Heard(t.placement.Server))
+	sent, err := t.conn.Send(x.request(t.placement, t.sent), x.deadline)
 	if !sent && err != nil && !t.conn.Reused() {
 		t.conn.Close()
-		return t.unreachable(ctx, err)
+		return t.handleUnreachable(ctx, err)
 	}
 	x.sends++
-	x.runs++ // until the server states otherwise
-	x.repeat = true
+	x.runs++ // unless the server states that it did not run it
+	x.isRetry = true
 	if err != nil {
-		return t.lost(ctx, err)
+		return t.handleLost(ctx, err)
 	}
-	x.h.Places.OnRevoke(t.place.ID, t.revoke)
+	x.h.Places.OnRevoke(t.placement.ID, t.revoke)
 	t.watchStall()
-	defer t.endStall()
-	t.patience(ctx, t.silence())
+	defer t.stopStallWatch()
+	t.setReadTimeout(ctx, t.readTimeout())
 	resp, err := t.conn.ReadHead(x.r.Method, func(h http.Header) bool {
 		id := x.h.Dialect.ReadAnswer(h).ID
 		return id == "" || id == x.head.ID
 	})
 	if err != nil {
-		return t.lost(ctx, err)
+		return t.handleLost(ctx, err)
 	}
-	return t.answered(ctx, resp)
+	return t.handleAnswer(ctx, resp)
 }
 
-// request is what goes to the server.
-func (x *exchange) request(place dispatch.Place, now time.Time) *upstream.Request {
-	s := ServerHead{Deadline: x.deadline.Sub(now), Instance: place.Server, LastEvent: x.stream.lastID}
+// request builds the request to the server.
+func (x *exchange) request(placement dispatch.Place, now time.Time) *upstream.Request {
+	s := ServerHead{Deadline: x.deadline.Sub(now), Instance: placement.Server, LastEvent: x.stream.lastID}
 	if x.account != nil {
 		s.Account, s.HideKey = x.account.Name, true
 	}
@@ -198,54 +195,54 @@
 	return b
 }
 
-// answered deals with an answer whose head has arrived.
-func (t *attempt) answered(ctx context.Context, resp *http.Response) verdict {
+// handleAnswer handles an answer whose header has arrived.
+func (t *attempt) handleAnswer(ctx context.Context, resp *http.Response) nextStep {
 	x := t.x
-	said := x.h.Dialect.ReadAnswer(resp.Header)
-	if !turnsAway(resp.StatusCode) {
-		said.Notice.Rest = 0
+	head := x.h.Dialect.ReadAnswer(resp.Header)
+	if !mayAskBackoff(resp.StatusCode) {
+		head.Notice.Rest = 0
 	}
-	if resp.StatusCode != http.StatusMisdirectedRequest { // another server's
-		x.hear(t.place.Server, said.Notice)
+	if resp.StatusCode != http.StatusMisdirectedRequest { // else another server incarnation answered
+		x.recordNotice(t.placement.Server, head.Notice)
 	}
-	if said.NotRun {
-		return t.notRun(resp, said.Notice.Rest)
+	if head.NotRun {
+		return t.handleNotRun(resp, head.Notice.Rest)
 	}
-	if resp.StatusCode < 300 && !said.Sealed {
-		return t.lost(ctx, errNoSeal)
+	if resp.StatusCode < 300 && !head.Sealed {
+		return t.handleLost(ctx, errUnsigned)
 	}
 	if x.route.Kind == routing.Streaming && resp.StatusCode == http.StatusOK {
-		return t.passStream(ctx, resp)
+		return t.forwardStream(ctx, resp)
 	}
-	a, whole, err := readAnswer(resp)
+	a, complete, err := readAnswer(resp)
 	if err != nil {
-		return t.lost(ctx, err)
+		return t.handleLost(ctx, err)
 	}
-	if !whole {
-		return t.passLong(ctx, resp, a)
+	if !complete {
+		return t.forwardUnbuffered(ctx, resp, a)
 	}
 	t.release(resp)
-	t.first = time.Since(t.sent)
-	x.first = t.first
+	t.timeToFirst = time.Since(t.sent)
+	x.timeToFirst = t.timeToFirst
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return t.errored(a)
+		return t.handleServerError(a)
 	}
-	x.h.Places.Finish(t.place.ID, sched.OK, t.first, 0)
-	if x.erred != "" {
-		x.h.Places.Blame(x.erred)
+	x.h.Places.Finish(t.placement.ID, sched.OK, t.timeToFirst, 0)
+	if x.errorServer != "" {
+		x.h.Places.Blame(x.errorServer)
 	}
-	x.pass(a)
-	return final
+	x.forwardAnswer(a)
+	return done
 }
 
-// turnsAway reports whether an answer with this status may ask for rest.
-func turnsAway(status int) bool {
+// mayAskBackoff reports whether an answer with this status may ask for backoff.
+func mayAskBackoff(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// notRun goes on to another server: this one states that it did not run the
-// request.
-func (t *attempt) notRun(resp *http.Response, rest time.Duration) verdict {
+// handleNotRun makes the request try another server: this one states that it did not run
+// the request.
+func (t *attempt) handleNotRun(resp *http.Response, backoff time.Duration) nextStep {
 	x := t.x
 	x.runs--
 	result := sched.Rejected
@@ -257,105 +254,105 @@
 	} else {
 		t.conn.Close()
 	}
-	x.h.Places.Finish(t.place.ID, result, 0, 0)
-	x.tried = append(x.tried, t.place.Server)
-	x.note(event.ServerRejected, "status "+strconv.Itoa(resp.StatusCode)+" rest="+milliseconds(rest))
+	x.h.Places.Finish(t.placement.ID, result, 0, 0)
+	x.tried = append(x.tried, t.placement.Server)
+	x.recordEvent(event.ServerRejected, "status "+strconv.Itoa(resp.StatusCode)+" rest="+milliseconds(backoff))
 	if x.sends >= maxSends {
-		x.giveUp(x.r.Context(), &dispatch.Refused{Decision: sched.Decision{Reason: sched.Overload, RetryAfter: rejectedRetry}})
-		return final
+		x.giveUp(x.r.Context(), &dispatch.Refused{Decision: sched.Decision{Reason: sched.Overload, RetryAfter: rejectedRetryAfter}})
+		return done
 	}
-	return again
+	return retry
 }
 
-// rejectedRetry is when to come back after servers themselves were full.
-const rejectedRetry = 300 * time.Millisecond
+// rejectedRetryAfter is the Retry-After when servers rejected the request.
+const rejectedRetryAfter = 300 * time.Millisecond
 
-// errored has a server's own failure. A safe request goes to another one.
-func (t *attempt) errored(a *answer) verdict {
+// handleServerError handles an error status of a server. A safe request tries another one.
+func (t *attempt) handleServerError(a *answer) nextStep {
 	x := t.x
 	result := sched.Errored
 	if x.route.Kind == routing.Safe {
 		result = sched.Unblamed
 	}
-	x.h.Places.Finish(t.place.ID, result, t.first, 0)
-	x.tried = append(x.tried, t.place.Server)
-	x.note(event.ServerErrored, "status "+strconv.Itoa(a.status))
-	if x.mayRunAgain() && !x.stream.started {
-		x.kept, x.erred = a, t.place.Server
-		return again
+	x.h.Places.Finish(t.placement.ID, result, t.timeToFirst, 0)
+	x.tried = append(x.tried, t.placement.Server)
+	x.recordEvent(event.ServerErrored, "status "+strconv.Itoa(a.status))
+	if x.mayRetry() && !x.stream.started {
+		x.errorAnswer, x.errorServer = a, t.placement.Server
+		return retry
 	}
 	if x.stream.started {
 		x.abort("the resumed stream failed")
 	}
-	x.pass(a)
-	return final
+	x.forwardAnswer(a)
+	return done
 }
 
-// lost has no whole answer: the request may have run.
-func (t *attempt) lost(ctx context.Context, err error) verdict {
+// handleLost handles a missing or incomplete answer: the request may have run.
+func (t *attempt) handleLost(ctx context.Context, err error) nextStep {
 	x := t.x
 	t.conn.Close()
 	if t.conn.Reused() && !t.conn.Heard() && x.r.Context().Err() == nil {
 		x.h.Pool.Forget(t.server())
 	}
 	if x.r.Context().Err() != nil {
-		x.h.Places.Finish(t.place.ID, sched.Left, 0, 0)
-		x.note(event.RequestLeft, "while it ran")
-		return final
+		x.h.Places.Finish(t.placement.ID, sched.Left, 0, 0)
+		x.recordEvent(event.RequestLeft, "while the request ran")
+		return done
 	}
 	if ctx.Err() != nil || !time.Now().Before(x.deadline) {
 		result := sched.Left
 		if x.stream.events == 0 {
-			result = sched.Broken // no word at all in the whole time
+			result = sched.Broken // nothing arrived before the deadline
 		}
-		x.h.Places.Finish(t.place.ID, result, 0, 0)
-		x.tried = append(x.tried, t.place.Server)
+		x.h.Places.Finish(t.placement.ID, result, 0, 0)
+		x.tried = append(x.tried, t.placement.Server)
 		x.giveUp(ctx, context.DeadlineExceeded)
-		return final
+		return done
 	}
 	if t.phase.Load() == revoked {
-		x.h.Places.Finish(t.place.ID, sched.Left, 0, 0)
-		x.giveUp(ctx, t.why)
-		return final
+		x.h.Places.Finish(t.placement.ID, sched.Left, 0, 0)
+		x.giveUp(ctx, t.revocation)
+		return done
 	}
-	x.tried = append(x.tried, t.place.Server)
-	x.note(event.ServerLost, err.Error()+" events="+strconv.Itoa(x.stream.events))
+	x.tried = append(x.tried, t.placement.Server)
+	x.recordEvent(event.ServerLost, err.Error()+" events="+strconv.Itoa(x.stream.events))
 	if t.phase.Load() == stalled {
-		x.h.Places.Finish(t.place.ID, sched.Silent, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.Silent, 0, 0)
 	} else {
 		go t.reportBroken()
 	}
-	if x.mayRunAgain() {
-		return again
+	if x.mayRetry() {
+		return retry
 	}
 	x.giveUp(ctx, err)
-	return final
+	return done
 }
 
-// revoke ends a run that has shown nothing yet: its request was put in quarantine.
-func (t *attempt) revoke(why *dispatch.Refused) {
-	if t.begun.Load() {
+// revoke ends a run without an event so far: its request was put in quarantine.
+func (t *attempt) revoke(revocation *dispatch.Refused) {
+	if t.started.Load() {
 		return
 	}
-	t.why = why
-	if t.phase.CompareAndSwap(inExchange, revoked) {
+	t.revocation = revocation
+	if t.phase.CompareAndSwap(inProgress, revoked) {
 		t.conn.Close()
 	}
 }
 
-// reportBroken tells the scheduler of a broken answer, and whether its server has ended
-// with it: one that has ended refuses new connections at once. The caller is not kept
-// waiting for that.
+// reportBroken reports a broken answer to the scheduler, and whether the server process
+// has ended: the address of an ended process refuses new connections at once. It runs in
+// its own goroutine so that the caller does not wait for it.
 func (t *attempt) reportBroken() {
-	x, ran, first := t.x, time.Since(t.sent), t.first
-	if !upstream.Refuses(t.place.Address, stallDial) {
-		x.h.Places.Finish(t.place.ID, sched.Broken, first, 0)
+	x, ran, timeToFirst := t.x, time.Since(t.sent), t.timeToFirst
+	if !upstream.Refuses(t.placement.Address, stallDialTimeout) {
+		x.h.Places.Finish(t.placement.ID, sched.Broken, timeToFirst, 0)
 		return
 	}
-	x.h.Places.Finish(t.place.ID, sched.Ended, first, 0)
+	x.h.Places.Finish(t.placement.ID, sched.Ended, timeToFirst, 0)
 	x.h.Meter.ServerEnded()
 	x.h.Events.Record(event.ServerEnded, event.Fields{
-		Request: x.head.ID, Service: x.service, Server: t.place.Server,
+		Request: x.head.ID, Service: x.service, Server: t.placement.Server,
 		Detail: "fingerprint=" + x.fingerprint.String() + " ran=" + milliseconds(ran),
 	})
 }
