--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -54,7 +54,7 @@
 	retryable := t.x.mayRetry()
 	t.stallTimer = time.AfterFunc(stallCheckDelay, func() {
 		for range stallDialAttempts {
-			if upstream.Answers(t.placement.Address, stallDialTimeout) {
+			if upstream.AcceptsConnections(t.placement.Address, stallDialTimeout) {
 				return
 			}
 		}
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -292,8 +292,8 @@
 func (t *attempt) handleLost(ctx context.Context, err error) nextStep {
 	x := t.x
 	t.conn.Close()
-	if t.conn.Reused() && !t.conn.Heard() && x.r.Context().Err() == nil {
-		x.h.Pool.Forget(t.server())
+	if t.conn.Reused() && !t.conn.AnswerStarted() && x.r.Context().Err() == nil {
+		x.h.Pool.CloseIdle(t.server())
 	}
 	if x.r.Context().Err() != nil {
 		x.h.Places.Finish(t.placement.ID, sched.Left, 0, 0)
@@ -345,7 +345,7 @@
 // its own goroutine so that the caller does not wait for it.
 func (t *attempt) reportBroken() {
 	x, ran, timeToFirst := t.x, time.Since(t.sent), t.timeToFirst
-	if !upstream.Refuses(t.placement.Address, stallDialTimeout) {
+	if !upstream.RefusesConnections(t.placement.Address, stallDialTimeout) {
 		x.h.Places.Finish(t.placement.ID, sched.Broken, timeToFirst, 0)
 		return
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,8 +1,8 @@
-// Package upstream sends requests to backend servers over kept connections
-// and tells apart how an exchange can end. It sends each request exactly once:
-// whether one may be sent again is the caller's decision, so connections are
-// handled here and not by net/http's Transport, which repeats some requests by
-// itself when a kept connection breaks.
+// Package upstream sends requests to backend servers over persistent connections and
+// distinguishes the ways an exchange can end. It sends each request exactly once, since
+// the user of the package decides about retries. Therefore it manages connections itself
+// instead of using net/http's Transport, which retries some requests when an idle
+// connection breaks.
 package upstream
 
 import (
@@ -20,20 +20,20 @@
 )
 
 const (
-	// readBuffer fits the head of an answer and several events of a stream.
-	readBuffer = 2048
-	// inlineBody is the largest body that is written before the answer is
-	// read. A server may answer a larger one before it has read it, and then
-	// both ends would wait for each other.
-	inlineBody = 8 << 10
-	// maxCrossed bounds the answers to earlier requests that are skipped.
-	maxCrossed = 2
+	// readBufferBytes fits the header of an answer and several events of a stream.
+	readBufferBytes = 2048
+	// maxInlineBodyBytes is the largest body that is written before the answer is read. A
+	// server may answer before it has read a larger body, and then both ends would wait
+	// for each other.
+	maxInlineBodyBytes = 8 << 10
+	// maxStaleAnswers bounds the answers to earlier requests that are skipped.
+	maxStaleAnswers = 2
 )
 
-// Request is what is sent to a server, once.
+// Request is a request to a server.
 type Request struct {
 	Method string
-	Target string // path and query as the caller sent them
+	Target string // path and query, as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
@@ -41,38 +41,38 @@
 
 // Conn is a connection to one backend server. One goroutine uses it at a time.
 type Conn struct {
-	net    net.Conn
-	r      *bufio.Reader
-	pool   *Pool
-	server Server
-	reused bool
-	heard  bool          // a byte of the answer has come
-	idle   time.Time     // since when it waits in the pool
-	wrote  chan struct{} // closed when a body written beside the answer is out
-	failed bool          // the body could not be written whole
-	closed sync.Once
+	net           net.Conn
+	r             *bufio.Reader
+	pool          *Pool
+	server        Server
+	reused        bool
+	answerStarted bool          // an answer header has arrived since the newest request
+	idleSince     time.Time     // when it was put into the pool
+	bodyWritten   chan struct{} // closed when the concurrent write of a large body ends
+	bodyFailed    bool          // the body was not written completely
+	closeOnce     sync.Once
 }
 
-// Reused reports whether the connection carried a request before.
+// Reused reports whether the connection was used for an earlier request.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Heard reports whether anything came of the answer to the newest request.
-func (c *Conn) Heard() bool { return c.heard }
+// AnswerStarted reports whether an answer has begun to arrive since the newest request.
+func (c *Conn) AnswerStarted() bool { return c.answerStarted }
 
-// Close ends the connection; the server drops what it works on.
+// Close closes the connection; the server then stops the request that it runs.
 func (c *Conn) Close() {
-	c.closed.Do(func() {
-		_ = c.net.Close() // what it carried is over either way
+	c.closeOnce.Do(func() {
+		_ = c.net.Close() // the exchange ends in any case
 	})
 }
 
-// Send writes a request. sent is false when no byte can have reached the
-// server. It fails with ServerLost.
+// Send writes a request. sent is false if no byte can have reached the server. It fails
+// with ServerLost.
 func (c *Conn) Send(req *Request, deadline time.Time) (sent bool, err error) {
-	_ = c.net.SetDeadline(deadline) // fails only on a closed connection, as Write then does
+	_ = c.net.SetDeadline(deadline) // fails only on a closed connection, as Write does then
 	head := appendHead(make([]byte, 0, 1024), req)
-	c.wrote, c.heard = nil, false
-	if len(req.Body) <= inlineBody {
+	c.bodyWritten, c.answerStarted = nil, false
+	if len(req.Body) <= maxInlineBodyBytes {
 		n, err := c.net.Write(append(head, req.Body...))
 		return n > 0, failure.Wrap(failure.ServerLost, err, "send to %s", c.server.Address)
 	}
@@ -80,13 +80,13 @@
 	if err != nil {
 		return n > 0, failure.Wrap(failure.ServerLost, err, "send to %s", c.server.Address)
 	}
-	wrote := make(chan struct{})
-	c.wrote = wrote
+	bodyWritten := make(chan struct{})
+	c.bodyWritten = bodyWritten
 	go func() {
-		defer close(wrote)
-		// The answer's reader meets the error too, and reports it.
+		defer close(bodyWritten)
+		// Reading the answer fails too and reports the error.
 		_, err := c.net.Write(req.Body)
-		c.failed = err != nil
+		c.bodyFailed = err != nil
 	}()
 	return true, nil
 }
@@ -115,29 +115,30 @@
 	return append(b, "\r\n"...)
 }
 
-// ReadHead reads the head of the answer. mine reports whether an answer
-// belongs to the request: one that does not is a late answer to an earlier
-// request on the connection, and is skipped. It fails with ServerLost.
-func (c *Conn) ReadHead(method string, mine func(http.Header) bool) (*http.Response, error) {
-	for range maxCrossed + 1 {
-		resp, err := c.readOne(method)
+// ReadHead reads the header of the answer. matches reports whether an answer belongs to
+// the request; others are late answers to earlier requests on the connection and are
+// skipped. It fails with ServerLost.
+func (c *Conn) ReadHead(method string, matches func(http.Header) bool) (*http.Response, error) {
+	for range maxStaleAnswers + 1 {
+		resp, err := c.readFinalAnswer(method)
 		if err != nil {
 			return nil, failure.Wrap(failure.ServerLost, err, "answer of %s", c.server.Address)
 		}
-		if mine(resp.Header) {
+		if matches(resp.Header) {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, failure.Wrap(failure.ServerLost, err, "crossed answer of %s", c.server.Address)
+			return nil, failure.Wrap(failure.ServerLost, err, "stale answer of %s", c.server.Address)
 		}
 	}
-	return nil, failure.New(failure.ServerLost, "%s sends answers to other requests only", c.server.Address)
+	return nil, failure.New(failure.ServerLost, "%s sent only answers to other requests", c.server.Address)
 }
 
-func (c *Conn) readOne(method string) (*http.Response, error) {
+// readFinalAnswer reads the header of an answer and skips interim (1xx) answers.
+func (c *Conn) readFinalAnswer(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
-		c.heard = c.heard || err == nil
+		c.answerStarted = c.answerStarted || err == nil
 		if err != nil {
 			return nil, err
 		}
@@ -147,39 +148,39 @@
 	}
 }
 
-// SetReadDeadline bounds the next reads.
+// SetReadDeadline sets the deadline of the next reads.
 func (c *Conn) SetReadDeadline(t time.Time) {
-	_ = c.net.SetReadDeadline(t) // fails only on a closed connection, as Read then does
+	_ = c.net.SetReadDeadline(t) // fails only on a closed connection, as Read does then
 }
 
-// Release ends an exchange whose answer was read whole. The connection is kept
-// unless the answer says otherwise or bytes follow it that belong to nothing.
+// Release ends an exchange whose answer was read completely. It returns the connection to
+// the pool, unless the answer forbids that or is followed by unexpected bytes.
 func (c *Conn) Release(resp *http.Response) {
-	if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 || c.r.Buffered() > 0 || !c.written() {
+	if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 || c.r.Buffered() > 0 || !c.requestWritten() {
 		c.Close()
 		return
 	}
-	c.pool.put(c, keepAlive(resp.Header))
+	c.pool.put(c, keepAliveTimeout(resp.Header))
 }
 
-// written reports whether the request's body is out. A server that answered
-// before it read the body still expects the rest; a next request sent now
-// would be taken for it.
-func (c *Conn) written() bool {
-	if c.wrote == nil {
+// requestWritten reports whether the body of the request was written completely. A server
+// that answered before it read the whole body expects the remainder and would take the
+// next request for it.
+func (c *Conn) requestWritten() bool {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-c.wrote:
-		return !c.failed
+	case <-c.bodyWritten:
+		return !c.bodyFailed
 	default:
 		return false
 	}
 }
 
-// quiet reports whether nothing has arrived on an idle connection: neither its
-// end nor bytes that belong to no request.
-func (c *Conn) quiet() bool {
+// noPendingInput reports whether nothing has arrived on an idle connection: neither its
+// end nor unexpected bytes.
+func (c *Conn) noPendingInput() bool {
 	sc, ok := c.net.(syscall.Conn)
 	if !ok {
 		return true
@@ -188,37 +189,37 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
-// probes find connections that have gone silent without a reset, within 2.5 s.
+// keepAliveProbes detect connections that are dead without a reset, within 2.5 s.
 //
-// Guard: a kept connection may lead nowhere while new ones work. What is sent on it
-// gets no answer, and may not be repeated as a rule. The kernel asks idle ones and
-// breaks those that do not answer, which shows before they are used.
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
+// An idle connection may be dead although new connections work. A request sent on it gets
+// no answer and usually may not be retried. The kernel probes idle connections and closes
+// those without a reply, which is detected before their next use.
+var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// dial opens a connection. It fails with NoServer: nothing was sent.
+// dial opens a connection. It fails with NoServer; nothing was sent.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := connect(ctx, address)
 	return conn, failure.Wrap(failure.NoServer, err, "connect to %s", address)
 }
 
-// connect opens a connection; its errors are those of package net.
+// connect opens a connection and returns errors of package net.
 func connect(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{KeepAliveConfig: probes}
+	d := net.Dialer{KeepAliveConfig: keepAliveProbes}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Answers reports whether a server accepts a new connection.
-func Answers(address string, timeout time.Duration) bool {
+// AcceptsConnections reports whether a server accepts a new connection.
+func AcceptsConnections(address string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err := dial(ctx, address)
@@ -229,9 +230,9 @@
 	return true
 }
 
-// Refuses reports whether nothing listens at a server's address: the process has ended,
-// while its machine still answers. A machine that is gone or cut off says nothing instead.
-func Refuses(address string, timeout time.Duration) bool {
+// RefusesConnections reports whether nothing listens at a server's address: the process has
+// ended, but its machine still responds. A machine that is down or cut off does not respond.
+func RefusesConnections(address string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err := connect(ctx, address)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,46 +12,46 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Server names one incarnation of a backend server at its address.
+// Server identifies an incarnation of a backend server and its address.
 type Server struct {
 	ID      string
 	Address string
 }
 
 const (
-	// defaultIdle is how long a connection is kept when the server does not
-	// say; idleMargin is left before the time that it says.
-	defaultIdle = 4 * time.Second
-	idleMargin  = 500 * time.Millisecond
-	// maxIdle bounds the kept connections to one server.
-	maxIdle = 8
+	// defaultIdleTimeout is how long an idle connection is kept if the server announces no
+	// timeout. idleTimeoutMargin is subtracted from an announced timeout.
+	defaultIdleTimeout = 4 * time.Second
+	idleTimeoutMargin  = 500 * time.Millisecond
+	// maxIdlePerServer bounds the idle connections to one server.
+	maxIdlePerServer = 8
 )
 
-// Pool keeps connections to backend servers. It bounds those that are idle;
-// those in use are bounded by the places that the scheduler gives. mu guards
+// Pool keeps idle connections to backend servers and bounds their number. The number of
+// connections in use is bounded by the placements that the scheduler gives. mu guards
 // idle.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[Server][]*Conn
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[Server][]*Conn{}} }
 
-// Get returns a connection to a server: the newest kept one that nothing has
-// arrived on, else a new one, for which ctx bounds the time. It fails with NoServer.
+// Get returns a connection to a server: the newest idle one without pending input, or
+// else a new one, whose dial is bounded by ctx. It fails with NoServer.
 //
-// Servers close idle connections before the time that they tell, too. That shows
-// before a request is sent, but for the millisecond that its notice is on the way.
-// Bounding the age to a second for what may not be repeated opened 1,850 connections
-// for 3,800 requests of the heavy days measured instead of 1,360, and lost as many.
+// Servers sometimes close idle connections earlier than announced. This is detected before
+// a request is sent, except during the millisecond while the close is in transit. An idle
+// limit of 1 s for requests that may not be retried does not help: for 3,800 requests under
+// heavy load it opened 1,850 connections instead of 1,360 and lost as many requests.
 func (p *Pool) Get(ctx context.Context, s Server) (*Conn, error) {
 	for {
 		c := p.take(s)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.noPendingInput() {
 			c.reused = true
 			return c, nil
 		}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{net: conn, r: bufio.NewReaderSize(conn, readBuffer), pool: p, server: s}, nil
+	return &Conn{net: conn, r: bufio.NewReaderSize(conn, readBufferBytes), pool: p, server: s}, nil
 }
 
 func (p *Pool) take(s Server) *Conn {
@@ -76,33 +76,33 @@
 	return c
 }
 
-// put keeps a connection for as long as its server does.
-func (p *Pool) put(c *Conn, keep time.Duration) {
-	c.idle = time.Now()
+// put keeps an idle connection for the duration keepFor.
+func (p *Pool) put(c *Conn, keepFor time.Duration) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
-	full := len(p.idle[c.server]) >= maxIdle || keep <= 0
-	if !full {
+	discard := len(p.idle[c.server]) >= maxIdlePerServer || keepFor <= 0
+	if !discard {
 		p.idle[c.server] = append(p.idle[c.server], c)
 	}
 	p.mu.Unlock()
-	if full {
+	if discard {
 		c.Close()
 		return
 	}
-	time.AfterFunc(keep, func() { p.expire(c, keep) })
+	time.AfterFunc(keepFor, func() { p.expire(c, keepFor) })
 }
 
-// Forget closes the kept connections to a server: one of them broke under a request
-// before any answer, and the others are as likely to.
-func (p *Pool) Forget(s Server) { p.Retain(func(have Server) bool { return have != s }) }
+// CloseIdle closes the idle connections to a server. It is used when one of them broke
+// before any answer arrived, since the others are as likely to be dead.
+func (p *Pool) CloseIdle(s Server) { p.Retain(func(have Server) bool { return have != s }) }
 
-// expire closes c if it has been idle all along.
-func (p *Pool) expire(c *Conn, keep time.Duration) {
+// expire closes c if it has been idle for keepFor without a use.
+func (p *Pool) expire(c *Conn, keepFor time.Duration) {
 	p.mu.Lock()
 	list := p.idle[c.server]
 	found := false
 	for i, have := range list {
-		if have == c && time.Since(c.idle) >= keep {
+		if have == c && time.Since(c.idleSince) >= keepFor {
 			p.idle[c.server] = append(list[:i], list[i+1:]...)
 			found = true
 			break
@@ -114,7 +114,7 @@
 	}
 }
 
-// Retain closes the kept connections to servers that are not wanted any more.
+// Retain closes the idle connections to servers that wanted rejects.
 func (p *Pool) Retain(wanted func(Server) bool) {
 	var drop []*Conn
 	p.mu.Lock()
@@ -130,8 +130,8 @@
 	}
 }
 
-// keepAlive reads how long the server keeps an idle connection.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long to keep an idle connection, from the Keep-Alive field.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -139,14 +139,14 @@
 		}
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if err != nil {
-			return defaultIdle
+			return defaultIdleTimeout
 		}
-		return time.Duration(seconds)*time.Second - idleMargin
+		return time.Duration(seconds)*time.Second - idleTimeoutMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 func appendInt(b []byte, n int) []byte { return strconv.AppendInt(b, int64(n), 10) }
 
-// NotSent reports whether an error of Get says that nothing was sent.
+// NotSent reports whether an error of Get means that nothing was sent.
 func NotSent(err error) bool { return failure.Is(err, failure.NoServer) }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,8 +22,8 @@
 	RunSpecs(t, "upstream")
 }
 
-// rawServer answers each connection with a function of its own and counts the
-// requests that it read.
+// rawServer serves each connection with a function and passes on the requests that it
+// read.
 type rawServer struct {
 	l        net.Listener
 	requests chan *http.Request
@@ -48,7 +48,7 @@
 
 func (s *rawServer) server() Server { return Server{ID: "i", Address: s.l.Addr().String()} }
 
-// read takes one request, with its body.
+// read reads one request with its body.
 func (s *rawServer) read(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -61,20 +61,20 @@
 	return true
 }
 
-func any1(http.Header) bool { return true }
+func anyAnswer(http.Header) bool { return true }
 
-func soon() time.Time { return time.Now().Add(2 * time.Second) }
+func deadline() time.Time { return time.Now().Add(2 * time.Second) }
 
-// exchange sends a request and reads the whole answer.
-func exchange(p *Pool, s Server, req *Request, mine func(http.Header) bool) (string, *Conn, *http.Response, error) {
+// roundTrip sends a request and reads the complete answer.
+func roundTrip(p *Pool, s Server, req *Request, matches func(http.Header) bool) (string, *Conn, *http.Response, error) {
 	c, err := p.Get(context.Background(), s)
 	if err != nil {
 		return "", nil, nil, err
 	}
-	if _, err = c.Send(req, soon()); err != nil {
+	if _, err = c.Send(req, deadline()); err != nil {
 		return "", c, nil, err
 	}
-	resp, err := c.ReadHead(req.Method, mine)
+	resp, err := c.ReadHead(req.Method, matches)
 	if err != nil {
 		return "", c, nil, err
 	}
@@ -89,14 +89,14 @@
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 var _ = Describe("an exchange", func() {
-	It("sends the request as it is and keeps the connection", func() {
+	It("sends the request unchanged and keeps the connection", func() {
 		s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
 			for s.read(r) {
 				fmt.Fprint(conn, okAnswer)
 			}
 		})
 		p := NewPool()
-		body, c, resp, err := exchange(p, s.server(), post("payload"), any1)
+		body, c, resp, err := roundTrip(p, s.server(), post("payload"), anyAnswer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("ok"))
 		c.Release(resp)
@@ -104,14 +104,14 @@
 		Expect(got.RequestURI).To(Equal("/a?b=%20c"))
 		Expect(got.Host).To(Equal("site"))
 		Expect(got.Header.Get("X-Own")).To(Equal("1"))
-		_, again, _, err := exchange(p, s.server(), post(""), any1)
+		_, again, _, err := roundTrip(p, s.server(), post(""), anyAnswer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.Reused()).To(BeTrue())
 	})
 
-	// A kept connection breaks as a confirmation is sent on it. A transport
-	// that sends it again by itself would have it run twice.
-	It("never sends a request twice by itself", func() {
+	// If an idle connection breaks while a request is sent on it, a transport that retries
+	// on its own may run the request twice.
+	It("never retries a request", func() {
 		s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
 			if s.read(r) {
 				fmt.Fprint(conn, okAnswer)
@@ -121,21 +121,21 @@
 		})
 		p := NewPool()
 		for _, method := range []string{http.MethodGet, http.MethodPost} {
-			_, c, resp, err := exchange(p, s.server(), post(""), any1)
+			_, c, resp, err := roundTrip(p, s.server(), post(""), anyAnswer)
 			Expect(err).NotTo(HaveOccurred())
 			c.Release(resp)
 			<-s.requests
 			req := post("")
 			req.Method = method
 			req.Header.Set("Idempotency-Key", "k")
-			_, _, _, err = exchange(p, s.server(), req, any1)
+			_, _, _, err = roundTrip(p, s.server(), req, anyAnswer)
 			Expect(failure.Is(err, failure.ServerLost)).To(BeTrue())
 			Expect(s.requests).To(Receive())
 			Consistently(s.requests, "50ms").ShouldNot(Receive())
 		}
 	})
 
-	It("does not use a kept connection that has ended or says something unasked", func() {
+	It("does not reuse an idle connection that was closed or has unexpected input", func() {
 		for _, last := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"} {
 			ended := make(chan struct{}, 1)
 			s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
@@ -150,41 +150,41 @@
 				}
 			})
 			p := NewPool()
-			_, c, resp, err := exchange(p, s.server(), post(""), any1)
+			_, c, resp, err := roundTrip(p, s.server(), post(""), anyAnswer)
 			Expect(err).NotTo(HaveOccurred())
 			c.Release(resp)
 			<-ended
-			Eventually(c.quiet).Should(BeFalse())
-			body, again, _, err := exchange(p, s.server(), post(""), any1)
+			Eventually(c.noPendingInput).Should(BeFalse())
+			body, again, _, err := roundTrip(p, s.server(), post(""), anyAnswer)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again.Reused()).To(BeFalse())
 			Expect(body).To(Equal("ok"))
 		}
 	})
 
-	// A server is cut off without a reset. One request finds out that a kept connection
-	// leads nowhere; the next ones must not each find out by themselves.
-	It("gives up all kept connections to a server when one broke before any answer", func() {
+	// When a server is cut off without a reset, all idle connections to it are dead. After
+	// one request failed on such a connection, the next ones must not fail on the others.
+	It("closes all idle connections to a server when one broke before any answer", func() {
 		s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
 			for s.read(r) {
 				fmt.Fprint(conn, okAnswer)
 			}
 		})
 		p := NewPool()
-		_, first, resp1, err := exchange(p, s.server(), post(""), any1)
+		_, first, resp1, err := roundTrip(p, s.server(), post(""), anyAnswer)
 		Expect(err).NotTo(HaveOccurred())
-		_, second, resp2, err := exchange(p, s.server(), post(""), any1)
+		_, second, resp2, err := roundTrip(p, s.server(), post(""), anyAnswer)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(second.Heard()).To(BeTrue())
+		Expect(second.AnswerStarted()).To(BeTrue())
 		first.Release(resp1)
 		second.Release(resp2)
 		again, err := p.Get(context.Background(), s.server())
 		Expect(err).NotTo(HaveOccurred())
-		_, err = again.Send(post(""), soon())
+		_, err = again.Send(post(""), deadline())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.Reused()).To(BeTrue())
-		Expect(again.Heard()).To(BeFalse())
-		p.Forget(s.server())
+		Expect(again.AnswerStarted()).To(BeFalse())
+		p.CloseIdle(s.server())
 		fresh, err := p.Get(context.Background(), s.server())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(fresh.Reused()).To(BeFalse())
@@ -196,31 +196,31 @@
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"+
 				"HTTP/1.1 200 OK\r\nX-Id: new\r\nContent-Length: 3\r\n\r\nnew")
 		})
-		body, _, _, err := exchange(NewPool(), s.server(), post(""), func(h http.Header) bool { return h.Get("X-Id") == "new" })
+		body, _, _, err := roundTrip(NewPool(), s.server(), post(""), func(h http.Header) bool { return h.Get("X-Id") == "new" })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("new"))
 	})
 
-	DescribeTable("tells a whole answer from one that breaks off",
+	DescribeTable("distinguishes a complete answer from one that is cut off",
 		func(text string, whole bool) {
 			s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
 				s.read(r)
 				fmt.Fprint(conn, text)
 				_ = conn.Close()
 			})
-			_, _, _, err := exchange(NewPool(), s.server(), post(""), any1)
+			_, _, _, err := roundTrip(NewPool(), s.server(), post(""), anyAnswer)
 			Expect(err == nil).To(Equal(whole))
 		},
 		Entry("with a length", okAnswer, true),
 		Entry("with a length, cut", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", false),
 		Entry("in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true),
 		Entry("in chunks, cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false),
-		Entry("without a length, ended by its connection", "HTTP/1.1 200 OK\r\n\r\nok", true),
-		Entry("no answer in the protocol", "rubbish\r\n\r\n", false),
-		Entry("behind an interim answer", "HTTP/1.1 100 Continue\r\n\r\n"+okAnswer, true),
+		Entry("without a length, ended by the close of its connection", "HTTP/1.1 200 OK\r\n\r\nok", true),
+		Entry("not an HTTP answer", "rubbish\r\n\r\n", false),
+		Entry("after an interim answer", "HTTP/1.1 100 Continue\r\n\r\n"+okAnswer, true),
 	)
 
-	It("takes an unframed answer that is reset as broken", func() {
+	It("treats an answer without a length as incomplete when the connection is reset", func() {
 		s := serveRaw(func(conn net.Conn, r *bufio.Reader, s *rawServer) {
 			s.read(r)
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nok")
@@ -228,13 +228,13 @@
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			_ = conn.Close()
 		})
-		_, _, _, err := exchange(NewPool(), s.server(), post(""), any1)
+		_, _, _, err := roundTrip(NewPool(), s.server(), post(""), anyAnswer)
 		Expect(err).To(HaveOccurred())
 	})
 
-	// A server answers before it has read a long body, keeps the connection and
-	// reads on. What is sent next on it would be taken for the rest of the body.
-	It("does not keep a connection whose request is not out", func() {
+	// A server may answer before it has read a long body, keep the connection and read on.
+	// It would take the next request on the connection for the remainder of the body.
+	It("does not keep a connection whose request is not completely written", func() {
 		s := serveRaw(func(conn net.Conn, r *bufio.Reader, _ *rawServer) {
 			_, err := http.ReadRequest(r)
 			if err == nil {
@@ -243,19 +243,19 @@
 			time.Sleep(time.Second) // reads nothing more
 		})
 		p := NewPool()
-		body, c, resp, err := exchange(p, s.server(), post(strings.Repeat("x", 16<<20)), any1)
+		body, c, resp, err := roundTrip(p, s.server(), post(strings.Repeat("x", 16<<20)), anyAnswer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("no"))
 		c.Release(resp)
 		Expect(p.idle).To(BeEmpty())
 	})
 
-	It("says that nothing was sent when no connection opens", func() {
+	It("reports that nothing was sent when no connection opens", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
 		_ = l.Close()
-		_, _, _, err = exchange(NewPool(), Server{Address: address}, post(""), any1)
+		_, _, _, err = roundTrip(NewPool(), Server{Address: address}, post(""), anyAnswer)
 		Expect(NotSent(err)).To(BeTrue())
 	})
 })
