--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,4 +1,5 @@
-// Package notice keeps what backend servers say of themselves in their answers.
+// Package notice holds server notices: what backend servers state about themselves in the
+// header of their answers.
 package notice
 
 import (
@@ -6,23 +7,24 @@
 	"time"
 )
 
-// Notice is what one answer says of its server.
+// Notice is what one answer states about its server.
 type Notice struct {
 	Limit   Limit
-	Leaving bool // it takes nothing new
-	// Rest is for how long it wants nothing more from the host that it turned away with this
-	// answer, 0 when it asks for none.
+	Leaving bool // the server accepts no new requests
+	// Rest is the backoff that the server asks of the host that it rejected with this answer,
+	// 0 for none.
 	Rest time.Duration
 }
 
-// MaxRest bounds the rest that a server is granted on its word alone.
+// MaxRest is the longest backoff that is granted to a server.
 const MaxRest = 5 * time.Minute
 
-// KeptUnlisted is how long the word of a server is kept that is not listed: it may be heard
-// before its entry is, and its entry may lapse for a moment.
+// KeptUnlisted is how long the notice of an unlisted server is kept: it may arrive before
+// the server's entry in the server list, and that entry may lapse for a moment.
 const KeptUnlisted = time.Minute
 
-// Limit is how many requests a server takes from all hosts together. The zero value is none.
+// Limit is the rate of requests that a server accepts from all hosts together. The zero
+// value means no limit.
 type Limit struct {
 	Named     bool
 	PerSecond float64
@@ -36,23 +38,23 @@
 	return strconv.FormatFloat(l.PerSecond, 'g', 4, 64) + "/s"
 }
 
-// Record is what a server said, and how long ago.
+// Record is the notice of a server and its age.
 type Record struct {
 	Server string
 	Notice
 	Age time.Duration
 }
 
-// Change is what a server says, and what it said before.
+// Change is the notice of a server before and after an answer.
 type Change struct {
 	Server        string
 	Before, After Notice
 }
 
-// Limit reports whether the limit has changed, and to what, for logs.
+// Limit reports whether the limit has changed, and describes the change for logs.
 func (c Change) Limit() (text string, changed bool) {
 	return "limit=" + c.After.Limit.String() + " was=" + c.Before.Limit.String(), c.After.Limit != c.Before.Limit
 }
 
-// Leaves reports whether the server says for the first time that it leaves.
+// Leaves reports whether the server states for the first time that it is leaving.
 func (c Change) Leaves() bool { return c.After.Leaving && !c.Before.Leaving }
--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Standing is what a server says of itself, and since when that is known.
+// Standing is the current notice of a server and the time of its newest answer.
 type Standing struct {
-	Notice              // without Rest
-	Heard     time.Time // in the newest answer that says so
-	RestsTill time.Time // zero: it has asked for no rest
+	Notice                 // without Rest
+	ReceivedAt   time.Time // when the newest answer arrived
+	BackoffUntil time.Time // zero if the server has asked for no backoff
 }
 
-// Rest is for how much longer the server wants nothing from this host.
-func (s Standing) Rest(now time.Time) time.Duration { return max(0, s.RestsTill.Sub(now)) }
+// Rest returns the remaining backoff that the server asked of this host.
+func (s Standing) Rest(now time.Time) time.Duration { return max(0, s.BackoffUntil.Sub(now)) }
 
-// Age is how long ago the server said so last.
-func (s Standing) Age(now time.Time) time.Duration { return now.Sub(s.Heard) }
+// Age returns the time since the server's newest answer.
+func (s Standing) Age(now time.Time) time.Duration { return now.Sub(s.ReceivedAt) }
 
-// Record is the standing as it is told to others.
+// Record returns the standing in the form that is sent to other hosts.
 func (s Standing) Record(server string, now time.Time) Record {
 	n := s.Notice
 	n.Rest = s.Rest(now)
 	return Record{Server: server, Notice: n, Age: s.Age(now)}
 }
 
-// Table is what servers have said to this host. Those that have said nothing are not in it.
-// mu guards all fields.
+// Table holds the notices that this host got from servers. Servers that stated nothing are
+// not in it. mu guards all fields.
 type Table struct {
 	mu      sync.Mutex
 	servers map[string]Standing
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{servers: map[string]Standing{}} }
 
-// Hear takes what an answer says. A server that leaves does not come back: it says so for
-// good. A rest is not ended by another one that is shorter, nor by answers to what was sent
-// before.
+// Hear records the notice in an answer. Leaving is permanent, since a leaving server does
+// not come back. A backoff is not shortened by a later one that ends sooner, nor ended by
+// answers to requests that were sent before it.
 func (t *Table) Hear(now time.Time, server string, n Notice) (c Change, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,23 +48,23 @@
 	if !ok && n == (Notice{}) {
 		return c, false
 	}
-	till := known.RestsTill
-	if rests := now.Add(n.Rest); n.Rest > 0 && rests.After(till) {
-		till = rests
+	backoffUntil := known.BackoffUntil
+	if until := now.Add(n.Rest); n.Rest > 0 && until.After(backoffUntil) {
+		backoffUntil = until
 	}
 	n.Rest = 0
-	t.servers[server] = Standing{Notice: n, Heard: now, RestsTill: till}
+	t.servers[server] = Standing{Notice: n, ReceivedAt: now, BackoffUntil: backoffUntil}
 	return c, c.Before != c.After
 }
 
-// Of returns what a server has said last.
+// Of returns the standing of a server.
 func (t *Table) Of(server string) Standing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.servers[server]
 }
 
-// All lists what servers have said.
+// All returns the records of all servers in the table.
 func (t *Table) All(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,10 +75,10 @@
 	return out
 }
 
-// Counts tells how many servers say what of themselves.
+// Counts holds the numbers of servers with a limit, leaving, and in backoff.
 type Counts struct{ Limited, Leaving, Resting int }
 
-// Count counts what servers say of themselves.
+// Count counts the servers by what they state.
 func (t *Table) Count(now time.Time) (c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,8 +96,8 @@
 	return c
 }
 
-// Retain forgets the servers that have said nothing for KeptUnlisted and that listed does not
-// report.
+// Retain removes the servers that listed does not report and whose newest answer is older
+// than KeptUnlisted.
 func (t *Table) Retain(now time.Time, listed func(server string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/notice/table_test.go
+++ b/internal/notice/table_test.go
@@ -19,10 +19,10 @@
 	return notice.Notice{Limit: notice.Limit{Named: true, PerSecond: n}}
 }
 
-var _ = Describe("what servers say of themselves", func() {
+var _ = Describe("the notices of servers", func() {
 	now := time.Now()
 
-	It("holds until a newer answer says otherwise", func() {
+	It("are valid until a newer answer states something else", func() {
 		t := notice.NewTable()
 		_, changed := t.Hear(now, "a", limit(2))
 		Expect(changed).To(BeTrue())
@@ -35,7 +35,7 @@
 		Expect(t.Count(now)).To(BeZero())
 	})
 
-	It("holds for good when a server leaves", func() {
+	It("keep a server as leaving permanently", func() {
 		t := notice.NewTable()
 		change, _ := t.Hear(now, "a", notice.Notice{Leaving: true})
 		Expect(change.Leaves()).To(BeTrue())
@@ -44,20 +44,20 @@
 		Expect(t.Of("a").Leaving).To(BeTrue())
 	})
 
-	It("asks for rest until the latest end that it named", func() {
+	It("keep the latest end of several backoffs", func() {
 		t := notice.NewTable()
-		rest := func(d time.Duration) notice.Notice { return notice.Notice{Rest: d} }
-		t.Hear(now, "a", rest(3*time.Second))
-		t.Hear(now.Add(time.Second), "a", rest(time.Second))
+		backoff := func(d time.Duration) notice.Notice { return notice.Notice{Rest: d} }
+		t.Hear(now, "a", backoff(3*time.Second))
+		t.Hear(now.Add(time.Second), "a", backoff(time.Second))
 		t.Hear(now.Add(time.Second), "a", notice.Notice{})
 		Expect(t.Of("a").Rest(now.Add(time.Second))).To(Equal(2 * time.Second))
 		Expect(t.Count(now.Add(time.Second)).Resting).To(Equal(1))
-		t.Hear(now.Add(2*time.Second), "a", rest(3*time.Second))
+		t.Hear(now.Add(2*time.Second), "a", backoff(3*time.Second))
 		Expect(t.Of("a").Rest(now.Add(4 * time.Second))).To(Equal(time.Second))
 		Expect(t.Of("a").Rest(now.Add(6 * time.Second))).To(BeZero())
 	})
 
-	It("keeps nothing of servers that say nothing, or are listed no more", func() {
+	It("are not kept for servers that state nothing or are no longer listed", func() {
 		t := notice.NewTable()
 		_, changed := t.Hear(now, "a", notice.Notice{})
 		Expect(changed).To(BeFalse())
