--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -152,7 +152,7 @@
 	if x.h.closed.Load() {
 		return failure.Retry(failure.Leaving, shutdownRetryAfter, "this host shuts down")
 	}
-	table := x.h.Routes.First(x.r.Context().Done(), x.configWait())
+	table := x.h.Routes.WaitFirst(x.r.Context().Done(), x.configWait())
 	if table == nil {
 		return failure.Retry(failure.StoreDown, noConfigRetryAfter, "no configuration is known yet")
 	}
@@ -165,7 +165,7 @@
 			return failure.New(failure.Unauthenticated, "the key belongs to no account")
 		}
 	}
-	x.service = x.route.Service()
+	x.service = x.route.PickService()
 	x.setDeadline()
 	if err := x.readBody(table.MaxBody); err != nil {
 		return err
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Check lists what is wrong with a configuration, one line each that names the
-// item and what is allowed; none when it is sound. Hosts take what the store
-// accepted; this is for operators before they write it.
+// Check returns the errors in a configuration, one line each with the item and what is
+// allowed; none if it is valid. It is for operators before they write a configuration;
+// hosts use any configuration that the store accepted.
 func (c *Config) Check() (faults []string) {
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	services := map[string]bool{}
@@ -23,11 +23,11 @@
 		for _, text := range r.check(services) {
 			fault("route %q: %s", r.Name, text)
 		}
-		at := strings.ToLower(r.Host) + r.Prefix
-		if first, taken := prefixes[at]; taken {
+		hostAndPrefix := strings.ToLower(r.Host) + r.Prefix
+		if first, taken := prefixes[hostAndPrefix]; taken {
 			fault("route %q has the host and prefix of route %q", r.Name, first)
 		}
-		prefixes[at] = r.Name
+		prefixes[hostAndPrefix] = r.Name
 	}
 	keys := map[string]string{}
 	for i := range c.Accounts {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing holds the configuration in force on a host: which service a
-// request goes to, what may be repeated, and who may send it. A Table is an
-// immutable snapshot; a newer version replaces it whole.
+// Package routing holds the configuration in force on a host: the service of a request,
+// whether the request may be retried, and who may send it. A Table is an immutable
+// snapshot and is replaced as a whole by a newer version.
 package routing
 
 import (
@@ -16,33 +16,33 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Kind says what may be repeated.
+// Kind classifies requests by whether they may be retried.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	// Unsafe requests run at most once for each attempt of a caller.
+	// Unsafe requests run at most once per attempt of the caller.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests answer with a series of events. They count as unsafe,
-	// unless their route is resumable.
+	// Streaming requests are answered with a series of events. They are unsafe unless
+	// their route is resumable.
 	Streaming
 )
 
-// Route is where requests of a host and path prefix go.
+// Route configures the requests of a host and path prefix.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest that a caller is kept waiting
-	Aim         time.Duration // latency objective
-	GapAim      time.Duration // longest pause between events that is on time
-	Patience    time.Duration // after which a stream's caller leaves for want of an event, 0: at its deadline
+	Timeout     time.Duration // longest that a caller waits
+	Aim         time.Duration // latency target
+	GapAim      time.Duration // latency target for the pause between events
+	Patience    time.Duration // caller timeout: a stream's caller leaves after so long without an event, 0: at its deadline
 	Priority    int           // 0 is the most urgent
 	Targets     []Target
-	MaxAttempts int // servers that one attempt of a caller may be sent to
+	MaxAttempts int // maximum number of servers for one attempt of a caller
 	Public      bool
 	Resumable   bool
 }
@@ -53,8 +53,8 @@
 	Weight  int
 }
 
-// Repeatable reports whether a request may run once more, or go on, after a run that was
-// cut off.
+// Repeatable reports whether a request may run again, or resume, after a run that was cut
+// off.
 func (r *Route) Repeatable() bool {
 	switch {
 	case r.MaxAttempts < 2:
@@ -65,8 +65,8 @@
 	return r.Kind == Streaming && r.Resumable
 }
 
-// Service draws the service of one request.
-func (r *Route) Service() string {
+// PickService chooses the service of one request at random, by weight.
+func (r *Route) PickService() string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -88,9 +88,9 @@
 	sched.Account
 	Keys       []string
 	Priority   int
-	Ranked     bool // Priority goes before that of the route
+	Ranked     bool // Priority is set and takes precedence over that of the route
 	InTokens   bool // the quota counts tokens, not requests
-	PlainUnits int  // charged for a request that does not tell its tokens
+	PlainUnits int  // charged for a request without token counts
 }
 
 // Config is a decoded configuration.
@@ -99,10 +99,10 @@
 	Routes   []Route
 	Services []sched.Service
 	Accounts []Account
-	MaxBody  int64 // bytes that a caller may send
+	MaxBody  int64 // maximum bytes in a request's body
 }
 
-// Table is a configuration made ready for look-ups.
+// Table is a configuration indexed for lookups.
 type Table struct {
 	Config
 	hosts map[string][]*Route // longest prefix first
@@ -128,8 +128,8 @@
 	return t
 }
 
-// Match returns the route with the longest prefix of a path, nil when none
-// matches. host may carry a port.
+// Match returns the route with the longest matching prefix of a path, nil if none matches.
+// host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -142,61 +142,61 @@
 	return nil
 }
 
-// HasAccounts reports whether requests need a key.
+// HasAccounts reports whether requests on routes that are not public need a key.
 func (t *Table) HasAccounts() bool { return len(t.Accounts) > 0 }
 
-// Account returns the holder of a key, nil when there is none.
+// Account returns the account that a key belongs to, nil if there is none.
 func (t *Table) Account(key string) *Account { return t.keys[key] }
 
-// Current holds the table in force. Versions only rise.
+// Current holds the table in force. Its version only increases.
 type Current struct {
 	table   atomic.Pointer[Table]
 	changed notify.Set
 
-	mu    sync.Mutex    // serializes Replace, guards known
-	known chan struct{} // closed with the first table; made when one waits for it
+	mu       sync.Mutex    // serializes Replace, guards firstSet
+	firstSet chan struct{} // closed when the first table is set; made by the first waiter
 }
 
 // Get returns the table in force, nil before the first.
 func (c *Current) Get() *Table { return c.table.Load() }
 
-// Subscribe returns a channel that yields a token after changes.
+// Subscribe returns a channel that receives after changes.
 func (c *Current) Subscribe() <-chan struct{} { return c.changed.Subscribe() }
 
-// First returns the table in force, and waits up to wait for the first one. It is nil
-// when none comes, or done closes.
-func (c *Current) First(done <-chan struct{}, wait time.Duration) *Table {
+// WaitFirst returns the table in force. If there is none yet, it waits for the first one
+// until the timeout passes or done closes, and returns nil if none came.
+func (c *Current) WaitFirst(done <-chan struct{}, timeout time.Duration) *Table {
 	if t := c.Get(); t != nil {
 		return t
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-c.first():
+	case <-c.firstTable():
 	case <-timer.C:
 	case <-done:
 	}
 	return c.Get()
 }
 
-// first returns a channel that closes when the first table is in force.
-func (c *Current) first() <-chan struct{} {
+// firstTable returns a channel that closes when the first table is in force.
+func (c *Current) firstTable() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known == nil {
-		c.known = make(chan struct{})
+	if c.firstSet == nil {
+		c.firstSet = make(chan struct{})
 		if c.table.Load() != nil {
-			close(c.known)
+			close(c.firstSet)
 		}
 	}
-	return c.known
+	return c.firstSet
 }
 
-// Replace puts t in force unless a version as new or newer is. It reports
-// whether it did.
+// Replace puts t in force unless the table in force has the same or a newer version, and
+// reports whether it did.
 //
-// Guard: a late answer of the store may bring an older version than one that
-// is in force already; taking it would undo an accepted change.
+// A late answer of the store may contain an older version than the one in force; using it
+// would undo an accepted change.
 func (c *Current) Replace(t *Table) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,8 +205,8 @@
 		return false
 	}
 	c.table.Store(t)
-	if old == nil && c.known != nil {
-		close(c.known)
+	if old == nil && c.firstSet != nil {
+		close(c.firstSet)
 	}
 	c.changed.Notify()
 	return true
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -17,13 +17,13 @@
 
 func tableOf(routes ...Route) *Table { return NewTable(Config{Version: 1, Routes: routes}) }
 
-var _ = Describe("a table", func() {
+var _ = Describe("a routing table", func() {
 	table := tableOf(
 		Route{Name: "short", Host: "a.example", Prefix: "/x/"},
 		Route{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		Route{Name: "other", Host: "b.example", Prefix: "/"},
 	)
-	DescribeTable("finds the route with the longest prefix of the host",
+	DescribeTable("finds the route of the host with the longest prefix",
 		func(host, path, want string) {
 			r := table.Match(host, path)
 			if want == "" {
@@ -35,20 +35,20 @@
 		Entry(nil, "a.example", "/x/1", "short"),
 		Entry(nil, "a.example", "/x/y/1", "long"),
 		Entry(nil, "A.example:8221", "/x/y/", "long"),
-		Entry("no prefix ends inside a segment", "a.example", "/xy/1", ""),
+		Entry("a prefix matches whole path segments only", "a.example", "/xy/1", ""),
 		Entry(nil, "b.example", "/x/1", "other"),
 		Entry(nil, "c.example", "/x/1", ""),
 	)
 
-	It("draws services by weight", func() {
+	It("picks services by weight", func() {
 		r := Route{Targets: []Target{{"a", 90}, {"b", 10}, {"c", 0}}}
 		n := map[string]int{}
 		for range 2000 {
-			n[r.Service()]++
+			n[r.PickService()]++
 		}
 		Expect(n["b"]).To(BeNumerically("~", 200, 80))
 		Expect(n).NotTo(HaveKey("c"))
-		Expect((&Route{}).Service()).To(BeEmpty())
+		Expect((&Route{}).PickService()).To(BeEmpty())
 	})
 
 	It("finds accounts by each of their keys", func() {
@@ -60,9 +60,9 @@
 })
 
 var _ = Describe("the table in force", func() {
-	// An operator's change is in force, and seconds later requests are routed
-	// as before it: a slow answer of the store brought the version before.
-	It("never goes back to an older version", func() {
+	// A slow answer of the store may bring an older version seconds after an operator's
+	// change is in force. Using it would route requests as before the change.
+	It("is never replaced by an older version", func() {
 		var c Current
 		changed := c.Subscribe()
 		Expect(c.Get()).To(BeNil())
@@ -74,8 +74,8 @@
 	})
 })
 
-var _ = Describe("a configuration's check", func() {
-	sound := func() Config {
+var _ = Describe("the check of a configuration", func() {
+	valid := func() Config {
 		return Config{
 			Services: []sched.Service{{Name: "app"}},
 			Routes: []Route{
@@ -86,14 +86,14 @@
 		}
 	}
 
-	It("passes a sound one", func() {
-		c := sound()
+	It("accepts a valid one", func() {
+		c := valid()
 		Expect(c.Check()).To(BeEmpty())
 	})
 
-	DescribeTable("names what is wrong",
+	DescribeTable("reports each error",
 		func(fault string, change func(c *Config)) {
-			c := sound()
+			c := valid()
 			change(&c)
 			Expect(c.Check()).To(Equal([]string{fault}))
 		},
@@ -102,7 +102,7 @@
 		Entry("a prefix without a slash", `route "r": prefix "/a" must begin and end with a slash`, func(c *Config) { c.Routes[0].Prefix = "/a" }),
 		Entry("an unknown service", `route "r": there is no service "ap"`, func(c *Config) { c.Routes[0].Targets[0].Service = "ap" }),
 		Entry("weights of 0", `route "r": it needs a service with a weight above 0`, func(c *Config) { c.Routes[0].Targets[0].Weight = 0 }),
-		Entry("an objective beyond the timeout", `route "r": its latency objective 3s is longer than its timeout 2s`, func(c *Config) { c.Routes[0].Aim = 3 * time.Second }),
+		Entry("a latency target beyond the timeout", `route "r": its latency objective 3s is longer than its timeout 2s`, func(c *Config) { c.Routes[0].Aim = 3 * time.Second }),
 		Entry("a prefix twice", `route "s" has the host and prefix of route "r"`, func(c *Config) { c.Routes[1].Prefix = "/a/" }),
 		Entry("a key twice", `account "two" has a key of account "one"`, func(c *Config) { c.Accounts[1].Keys[0] = "k1" }),
 		Entry("a negative rate", `account "one": rate and burst are 0 (no limit) or more`, func(c *Config) { c.Accounts[0].Rate = -1 }),
@@ -110,23 +110,23 @@
 })
 
 var _ = Describe("waiting for the first configuration", func() {
-	// A fleet that lost its power is back. Callers of the first half second were told to
-	// come back after seconds, though each host had its configuration 0.3 s later.
+	// After a power loss of the whole fleet, callers of the first half second were told to
+	// retry after seconds, although each host had its configuration 0.3 s later.
 	It("ends when it is in force", func() {
 		var c Current
 		time.AfterFunc(20*time.Millisecond, func() { c.Replace(NewTable(Config{Version: 3})) })
 		begun := time.Now()
-		Expect(c.First(nil, 5*time.Second)).To(HaveField("Version", int64(3)))
+		Expect(c.WaitFirst(nil, 5*time.Second)).To(HaveField("Version", int64(3)))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
-		Expect(c.First(nil, time.Minute)).NotTo(BeNil(), "at once from then on")
+		Expect(c.WaitFirst(nil, time.Minute)).NotTo(BeNil(), "without a wait from then on")
 	})
-	It("ends with the time that there is, or when the caller leaves", func() {
+	It("ends at the timeout or when the caller leaves", func() {
 		var c Current
-		Expect(c.First(nil, 10*time.Millisecond)).To(BeNil())
+		Expect(c.WaitFirst(nil, 10*time.Millisecond)).To(BeNil())
 		left := make(chan struct{})
 		close(left)
 		begun := time.Now()
-		Expect(c.First(left, time.Minute)).To(BeNil())
+		Expect(c.WaitFirst(left, time.Minute)).To(BeNil())
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 })
