--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -21,72 +21,73 @@
 	"github.com/gentianflow/gentianflow/internal/store"
 )
 
-// thaw waits until the host goes on.
-func (h *fleetHost) thaw() {
-	for h.absence() == frozen && h.fleet.ctx.Err() == nil {
+// waitWhileFrozen blocks until the host is no longer frozen.
+func (h *fleetHost) waitWhileFrozen() {
+	for h.availability() == frozen && h.fleet.ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// suspected reports whether the membership suspects a host that stands still. In large fleets
-// word of that comes too late to count on.
+// suspected reports whether membership suspects a host that became unavailable. Large fleets
+// spread a suspicion too slowly to rely on, so there it is always false.
 func (h *fleetHost) suspected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.fleet.hosts) < 50 && time.Since(h.struck) > suspicionTime
+	return len(h.fleet.hosts) < 50 && time.Since(h.unavailableSince) > suspicionTime
 }
 
 // suspicionTime is how long the members of a small fleet take to suspect one: a round of
-// probes, a direct and an indirect answer awaited, and a round to tell it.
+// probes, the timeouts of a direct and an indirect answer, and a round to spread it.
 const suspicionTime = 1300 * time.Millisecond
 
-// strike makes the host absent. Others notice one that stands still on their sessions.
-func (h *fleetHost) strike(kind absence) {
+// makeUnavailable makes the host unavailable. Sessions to a frozen host break after
+// sessionDetectionTime.
+func (h *fleetHost) makeUnavailable(kind availability) {
 	h.mu.Lock()
-	h.away, h.struck = kind, time.Now()
+	h.state, h.unavailableSince = kind, time.Now()
 	h.mu.Unlock()
 	if kind != frozen {
 		return
 	}
-	time.AfterFunc(sessionSilence, func() {
-		if h.absence() == frozen {
+	time.AfterFunc(sessionDetectionTime, func() {
+		if h.availability() == frozen {
 			h.fleet.breakStreams(h)
 		}
 	})
 }
 
-// sessionSilence is how long sessions take to notice a host that stands still.
-const sessionSilence = peer.ProbePeriod + peer.ProbeDeadline
+// sessionDetectionTime is how long sessions take to detect a frozen host.
+const sessionDetectionTime = peer.ProbePeriod + peer.ProbeDeadline
 
-// fleetHost is the part of an entry host that follows the tables. mu guards away, struck, used
-// and configs.
+// fleetHost is the part of an entry host that follows the tables. mu guards the fields below
+// it.
 type fleetHost struct {
 	fleet   *testFleet
-	index   int // in the ranking
+	index   int // rank among the hosts
 	relays  *store.Relays
 	servers *servers
 
-	mu     sync.Mutex
-	away   absence
-	struck time.Time            // when it became so by strike
-	used   map[string]time.Time // by server, when it was last to be used; zero: it is now
-	// configs tells by version of the configuration when the host had it, or a newer one.
+	mu               sync.Mutex
+	state            availability
+	unavailableSince time.Time            // when makeUnavailable set state
+	usableUntil      map[string]time.Time // by server, when it was last usable; zero: it is usable now
+	// configs holds, by configuration version, when the host first had it or a newer one.
 	configs []time.Time
 }
 
-func (h *fleetHost) absence() absence {
+func (h *fleetHost) availability() availability {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.away
+	return h.state
 }
 
-func (h *fleetHost) setAbsence(a absence) {
+func (h *fleetHost) setAvailability(a availability) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away = a
+	h.state = a
 }
 
-// apply notes which servers the scheduler of this host would use.
+// apply records which servers this host's scheduler would use.
 func (h *fleetHost) apply(list []sched.Server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,19 +96,19 @@
 	for _, srv := range list {
 		usable[srv.ID] = !srv.Draining
 	}
-	for id, last := range h.used {
+	for id, last := range h.usableUntil {
 		if last.IsZero() && !usable[id] {
-			h.used[id] = now
+			h.usableUntil[id] = now
 		}
 	}
-	for id, use := range usable {
-		if use {
-			h.used[id] = time.Time{}
+	for id, isUsable := range usable {
+		if isUsable {
+			h.usableUntil[id] = time.Time{}
 		}
 	}
 }
 
-// applyConfig notes which configuration the host has.
+// applyConfig records which configuration the host has.
 func (h *fleetHost) applyConfig(u store.Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,8 +120,8 @@
 	}
 }
 
-// lacked is how long after a moment the host had an older configuration than a version.
-func (h *fleetHost) lacked(version int, after time.Time) time.Duration {
+// configDelay is how long after a moment the host had an older configuration than version.
+func (h *fleetHost) configDelay(version int, after time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.configs) <= version {
@@ -129,11 +130,11 @@
 	return h.configs[version].Sub(after)
 }
 
-// lateness is how long after a moment a server was still to be used.
-func (h *fleetHost) lateness(server string, after time.Time) time.Duration {
+// removalDelay is how long after a moment a server was still usable.
+func (h *fleetHost) removalDelay(server string, after time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	last, known := h.used[server]
+	last, known := h.usableUntil[server]
 	switch {
 	case !known:
 		return 0
@@ -143,11 +144,11 @@
 	return last.Sub(after)
 }
 
-// uses counts the servers that the host would use now.
-func (h *fleetHost) uses() (n int) {
+// countUsable counts the servers that the host would use now.
+func (h *fleetHost) countUsable() (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, last := range h.used {
+	for _, last := range h.usableUntil {
 		if last.IsZero() {
 			n++
 		}
@@ -155,14 +156,14 @@
 	return n
 }
 
-// testReaders is how many hosts of the ranking read the store for all, testStandbys how many
-// behind them do while none of these has news.
+// testReaders is the number of hosts, by rank, that read the store for all. testStandbys is the
+// number of hosts after them that read it while the readers have no updates.
 const (
 	testReaders  = 5
 	testStandbys = 10
 )
 
-// Order, Open and Hosts make a fleetHost the store.Readers of that host.
+// Order, Open and Hosts implement store.Readers.
 
 func (h *fleetHost) Order() store.Order {
 	o := store.Order{Readers: min(testReaders, len(h.fleet.hosts)), Self: -1}
@@ -180,18 +181,18 @@
 func (h *fleetHost) Open(ctx context.Context, name string) (*peer.Stream, error) {
 	i := slices.IndexFunc(h.fleet.hosts, func(o *fleetHost) bool { return fmt.Sprint(o.index) == name })
 	to := h.fleet.hosts[i]
-	if to.absence() == frozen {
+	if to.availability() == frozen {
 		if to.suspected() {
-			return nil, failure.New(failure.PeerSilent, "host %s leaves probes unanswered", name)
+			return nil, failure.New(failure.PeerSilent, "host %s does not answer probes", name)
 		}
-		<-ctx.Done() // its kernel accepts, and nothing is said
+		<-ctx.Done() // a frozen host's kernel accepts the connection, but nothing answers
 		return nil, failure.Wrap(failure.PeerSilent, ctx.Err(), "greet host %s", name)
 	}
 	a, b := net.Pipe()
-	h.fleet.keep(to, a, b)
-	h.fleet.duties.Go(func() {
+	h.fleet.trackStream(to, a, b)
+	h.fleet.tasks.Go(func() {
 		role := func() store.Role {
-			to.thaw()
+			to.waitWhileFrozen()
 			return to.Order().Role()
 		}
 		to.relays.Serve(h.fleet.ctx, &peer.Stream{Conn: b, R: bufio.NewReader(b)}, role)
@@ -205,73 +206,74 @@
 	operatorTable = "op"
 )
 
-// testFleet is a fleet that follows the tables. mu guards streams.
+// testFleet is a fleet of hosts that follow the tables. mu guards streams.
 type testFleet struct {
 	ctx    context.Context
 	cancel context.CancelFunc
-	duties sync.WaitGroup
+	tasks  sync.WaitGroup
 	tables map[string]*storeTable
 	hosts  []*fleetHost
-	seed   *rand.Rand
+	rng    *rand.Rand
 
 	mu      sync.Mutex
-	streams map[*fleetHost][]net.Conn // by the host that they were opened to
+	streams map[*fleetHost][]net.Conn // by the host to which they were opened
 }
 
-// keep notes the ends of a stream to a host.
-func (f *testFleet) keep(to *fleetHost, ends ...net.Conn) {
+// trackStream records the two ends of a stream to a host.
+func (f *testFleet) trackStream(to *fleetHost, ends ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.streams[to] = append(f.streams[to], ends...)
 }
 
-// breakStreams ends the streams to a host.
+// breakStreams closes the streams to a host.
 func (f *testFleet) breakStreams(to *fleetHost) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.streams[to] {
-		_ = c.Close() // a pipe's end never fails to
+		_ = c.Close() // closing a pipe never fails
 	}
 	delete(f.streams, to)
 }
 
-// stop ends all duties; a synctest bubble ends with its last goroutine.
+// stop ends all goroutines and waits for them, as a synctest bubble requires.
 func (f *testFleet) stop() {
 	f.cancel()
 	for _, h := range f.hosts {
 		f.breakStreams(h)
 	}
-	f.duties.Wait()
+	f.tasks.Wait()
 }
 
-// startFleet starts a fleet that knows some servers. It runs within a synctest bubble.
+// startFleet starts a fleet in which all hosts know the servers. It runs within a synctest
+// bubble.
 func startFleet(g Gomega, hosts, servers int, seed uint64) *testFleet {
 	f := &testFleet{
 		tables:  map[string]*storeTable{serverTable: newStoreTable(), operatorTable: newStoreTable()},
 		streams: map[*fleetHost][]net.Conn{},
-		seed:    rand.New(rand.NewPCG(seed, uint64(hosts))),
+		rng:     rand.New(rand.NewPCG(seed, uint64(hosts))),
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for i := range servers {
-		f.tables[serverTable].write(ready(server(i)))
+		f.tables[serverTable].write(readyRow(serverName(i)))
 	}
-	f.configure(0)
+	f.writeConfig(0)
 	events := event.NewRecorder("h", "i", 16, kitlog.NewNopLogger())
 	for i := range hosts {
-		h := &fleetHost{fleet: f, index: i, relays: store.NewRelays(), used: map[string]time.Time{}}
+		h := &fleetHost{fleet: f, index: i, relays: store.NewRelays(), usableUntil: map[string]time.Time{}}
 		h.servers = newServers(decodeState, events, h.apply)
 		f.hosts = append(f.hosts, h)
 	}
 	for _, h := range f.hosts {
-		for table, apply := range map[string]func(store.Update){serverTable: h.servers.take, operatorTable: h.applyConfig} {
+		for table, apply := range map[string]func(store.Update){serverTable: h.servers.update, operatorTable: h.applyConfig} {
 			w := newWatcher(h, h, h.relays, table, events, apply)
-			f.duties.Go(func() { w.Run(f.ctx) })
+			f.tasks.Go(func() { w.Run(f.ctx) })
 		}
-		f.duties.Go(h.sweep)
+		f.tasks.Go(h.sweep)
 	}
 	time.Sleep(5 * time.Second)
 	for _, h := range f.hosts {
-		g.Expect(h.uses()).To(Equal(servers))
+		g.Expect(h.countUsable()).To(Equal(servers))
 	}
 	return f
 }
@@ -283,27 +285,28 @@
 	}
 }
 
-// configure writes a version of the configuration.
-func (f *testFleet) configure(version int) {
+// writeConfig writes a version of the configuration.
+func (f *testFleet) writeConfig(version int) {
 	f.tables[operatorTable].write(store.Row{Key: "config", Value: fmt.Append(nil, version)})
 }
 
-// leave lets a server leave, by saying so or by taking its entry away.
-func (f *testFleet) leave(i int) {
-	row := gone(server(i))
+// stopServer takes the i-th server out of service: even ones drain, the entries of odd ones are
+// deleted.
+func (f *testFleet) stopServer(i int) {
+	row := deletedRow(serverName(i))
 	if i%2 == 0 {
-		row = draining(server(i))
+		row = drainingRow(serverName(i))
 	}
 	f.tables[serverTable].write(row)
 }
 
-func server(i int) string { return fmt.Sprint("s", i) }
+func serverName(i int) string { return fmt.Sprint("s", i) }
 
-func ready(name string) store.Row { return store.Row{Key: name, Value: []byte("ready")} }
+func readyRow(name string) store.Row { return store.Row{Key: name, Value: []byte("ready")} }
 
-func draining(name string) store.Row { return store.Row{Key: name, Value: []byte("draining")} }
+func drainingRow(name string) store.Row { return store.Row{Key: name, Value: []byte("draining")} }
 
-func gone(name string) store.Row { return store.Row{Key: name, Deleted: true} }
+func deletedRow(name string) store.Row { return store.Row{Key: name, Deleted: true} }
 
 func decodeState(name string, value []byte) (sched.Server, error) {
 	return sched.Server{ID: name, Address: name, Draining: string(value) == "draining"}, nil
--- a/internal/node/fleetstore_test.go
+++ b/internal/node/fleetstore_test.go
@@ -9,22 +9,22 @@
 	"github.com/gentianflow/gentianflow/internal/store"
 )
 
-// absence is how the store treats a host.
-type absence int
+// availability is how the store answers a host.
+type availability int
 
 const (
-	present absence = iota
-	silent          // no answer comes
-	refused         // an error comes at once
-	frozen          // the host itself stands still
+	present availability = iota
+	silent               // the store does not answer
+	refused              // the store answers with an error at once
+	frozen               // the host itself is paused
 )
 
-func (a absence) String() string {
+func (a availability) String() string {
 	return [...]string{"present", "silent", "refused", "frozen"}[a]
 }
 
 // storeTable is a table of the platform's store. mu guards all fields; changed is closed and
-// made anew with each change.
+// replaced at each change.
 type storeTable struct {
 	mu      sync.Mutex
 	rows    map[string]store.Row
@@ -53,7 +53,7 @@
 	t.changed = make(chan struct{})
 }
 
-func (t *storeTable) whole() ([]store.Row, int64) {
+func (t *storeTable) snapshot() ([]store.Row, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var rows []store.Row
@@ -75,59 +75,60 @@
 	return rows, t.version, t.changed
 }
 
-// The bounds of the store's client.
+// Latency of an answer of the store, and the timeouts of its client.
 const (
-	storeAnswer = 4 * time.Millisecond
-	storeCall   = 1500 * time.Millisecond
-	storeMargin = 800 * time.Millisecond
+	storeLatency     = 4 * time.Millisecond
+	storeCallTimeout = 1500 * time.Millisecond
+	storeWaitMargin  = 800 * time.Millisecond
 )
 
-// Snapshot and Changes make a fleetHost the store's client of that host.
+// Snapshot and Changes implement store.Tables.
 
 func (h *fleetHost) Snapshot(ctx context.Context, table string) ([]store.Row, int64, error) {
-	if err := h.answer(ctx, time.Now().Add(storeCall)); err != nil {
+	if err := h.respond(ctx, time.Now().Add(storeCallTimeout)); err != nil {
 		return nil, 0, err
 	}
-	rows, version := h.fleet.tables[table].whole()
+	rows, version := h.fleet.tables[table].snapshot()
 	return rows, version, nil
 }
 
 func (h *fleetHost) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]store.Row, int64, error) {
-	limit := time.Now().Add(wait + storeMargin)
+	deadline := time.Now().Add(wait + storeWaitMargin)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for waits := true; ; {
-		if err := h.answer(ctx, limit); err != nil {
+	for waiting := true; ; {
+		if err := h.respond(ctx, deadline); err != nil {
 			return nil, 0, err
 		}
 		rows, version, changed := h.fleet.tables[table].since(after)
-		if len(rows) > 0 || !waits {
+		if len(rows) > 0 || !waiting {
 			return rows, version, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			waits = false
+			waiting = false
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
 	}
 }
 
-// answer takes the time of an answer, or until limit when none comes.
-func (h *fleetHost) answer(ctx context.Context, limit time.Time) error {
-	time.Sleep(storeAnswer)
-	switch h.absence() {
+// respond waits for the latency of an answer, or until deadline when the store does not answer,
+// and returns the error of the call.
+func (h *fleetHost) respond(ctx context.Context, deadline time.Time) error {
+	time.Sleep(storeLatency)
+	switch h.availability() {
 	case silent:
 		select {
-		case <-time.After(time.Until(limit)):
+		case <-time.After(time.Until(deadline)):
 		case <-ctx.Done():
 		}
 		return failure.New(failure.StoreDown, "no answer")
 	case refused:
-		return failure.New(failure.StoreDown, "turned away")
+		return failure.New(failure.StoreDown, "refused")
 	case frozen:
-		h.thaw()
+		h.waitWhileFrozen()
 		return failure.New(failure.StoreDown, "no answer in time")
 	}
 	return nil
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -11,80 +11,82 @@
 )
 
 const (
-	// joinWait is how long a host that starts waits for word of others before it asks
-	// the store. Hosts that run answer within 10 ms; those of a fleet that starts at
-	// once are up within 300 ms of each other.
-	joinWait = 200 * time.Millisecond
-	// meetTime is how long a host waits from the first that it hears of for the others,
-	// while none knows the fleet yet: it learns of the largest ones with the first
-	// answer, and of the rest within settling.
-	meetTime = 50 * time.Millisecond
-	joinLook = 10 * time.Millisecond // how often it looks meanwhile
-	// hostsPeriod is how often the home looks into the table of hosts for one of the
-	// other side of a cut that has healed, and a host that hears of nobody for any.
-	hostsPeriod = 30 * time.Second
-	hostsRetry  = 300 * time.Millisecond
-	// joinPeriod is how often a host looks whether it is the home or alone.
-	joinPeriod = 500 * time.Millisecond
-	// sizeChange is the factor by which the fleet's size must change for the home to
-	// write it anew.
-	sizeChange = 1.25
+	// joinTimeout is how long a host that starts waits for gossip of other hosts before it asks
+	// the store. Running hosts answer within 10 ms; hosts of a fleet that starts all at once
+	// are up within 300 ms of each other.
+	joinTimeout = 200 * time.Millisecond
+	// firstContactWait is how long a host waits after its first contact with another host while
+	// no contact knows the fleet yet. The first answer names the largest known fleet size, and
+	// gossip brings the other hosts while it settles.
+	firstContactWait = 50 * time.Millisecond
+	joinPollInterval = 10 * time.Millisecond // how often a joining host checks for contacts
+	// hostTablePeriod is how often the home reads the table of hosts, to find hosts on the
+	// other side of a healed network partition. A host without contacts starts with
+	// hostTableRetry and doubles the interval up to hostTablePeriod.
+	hostTablePeriod = 30 * time.Second
+	hostTableRetry  = 300 * time.Millisecond
+	// hostCheckPeriod is how often a host checks whether it is the home or alone.
+	hostCheckPeriod = 500 * time.Millisecond
+	// fleetSizeFactor is the factor by which the fleet's size must change for the home to write
+	// its row again.
+	fleetSizeFactor = 1.25
 )
 
-// hostRow is a row of the system's own table. The home has one, and so have hosts that
-// heard of nobody when they started. It tells others where to join and how many parts
-// there are of what the hosts share.
+// hostRow is a row of the table of hosts. The home writes one, and so do hosts that found no
+// other host when they started. It gives other hosts an address to join through and the number
+// of hosts among which shared limits are divided.
 type hostRow struct {
 	Control string `json:"control"`
-	Hosts   int    `json:"hosts"` // that its writer knew
+	Hosts   int    `json:"hosts"` // known to the host that wrote the row
 }
 
-// hostList is what the table of hosts tells.
+// hostList is the content of the table of hosts.
 type hostList struct {
-	seeds []string // control addresses
-	hosts int      // the largest fleet told of
+	seeds     []string // control addresses
+	fleetSize int      // the largest size that a row gives
 }
 
 // join finds the other hosts and helps others to find them.
 //
-// Seeds of the settings answer within milliseconds as a rule, and tell how large the
-// fleet is. A host that hears of nobody looks into the table of hosts. Were each host of
-// 195 to write a row and read all of them at its start and every 30 s, a calm day would
-// make 800 calls for it.
+// Seeds of the settings usually answer within milliseconds and report the size of the fleet.
+// Only a host without contacts reads the table of hosts. If each of 195 hosts wrote a row and
+// read all rows at its start and every 30 s, this would take 800 calls to the store on a calm
+// day.
 func (n *Node) join(ctx context.Context) {
 	n.awaitFleet(ctx)
 	close(n.joined)
 	if n.gossip.Told() == 0 && n.role() == store.Reader {
-		// It knows nobody, or may be the home of a fleet that starts anew, which serves
-		// as soon as it knows that all are there.
-		n.readHosts(ctx)
+		// This host has no contacts, or may be the home of a fleet that starts anew, which
+		// grants requests only once it knows that all hosts are there.
+		n.readHostTable(ctx)
 	}
-	j := joining{node: n, retry: hostsRetry}
-	for j.look(ctx, time.Now()); pause(ctx, joinPeriod); {
-		j.look(ctx, time.Now())
+	tableSync := hostTableSync{node: n, retry: hostTableRetry}
+	for tableSync.check(ctx, time.Now()); sleep(ctx, hostCheckPeriod); {
+		tableSync.check(ctx, time.Now())
 	}
 }
 
-// awaitFleet waits until a host has told of its fleet, for a moment only while those
-// heard of know as little as this one, and no longer than joinWait.
+// awaitFleet waits until another host has reported the size of the fleet, but no longer than
+// joinTimeout. When the hosts found so far do not know it either, it waits for firstContactWait
+// only.
 func (n *Node) awaitFleet(ctx context.Context) {
-	begun := time.Now()
-	var met time.Time
-	for n.gossip.Told() == 0 && time.Since(begun) < joinWait {
-		if met.IsZero() && n.members.Live() > 1 {
-			met = time.Now()
+	start := time.Now()
+	var firstContact time.Time
+	for n.gossip.Told() == 0 && time.Since(start) < joinTimeout {
+		if firstContact.IsZero() && n.members.Live() > 1 {
+			firstContact = time.Now()
 		}
-		if !met.IsZero() && time.Since(met) > meetTime {
+		if !firstContact.IsZero() && time.Since(firstContact) > firstContactWait {
 			return
 		}
-		if !pause(ctx, joinLook) {
+		if !sleep(ctx, joinPollInterval) {
 			return
 		}
 	}
 }
 
-// pause waits for d and reports whether ctx goes on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns true, or false if ctx ends before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -93,100 +95,102 @@
 	}
 }
 
-// joining keeps this host's row in the table of hosts, where it needs one, and looks for
-// others. Its fields belong to the goroutine of join.
-type joining struct {
-	node    *Node
-	written int           // the size in this host's row, 0: it has none
-	led     bool          // it was the home when it looked last, and knows the quarantine
-	release time.Time     // when it looks next whether a request was released
-	due     time.Time     // when the table is read again
-	retry   time.Duration // of a host alone
+// hostTableSync keeps this host's row in the table of hosts, if it needs one, and reads the
+// table to find other hosts. Its fields belong to the goroutine of join.
+type hostTableSync struct {
+	node             *Node
+	writtenSize      int           // the size in this host's row, 0 if it has none
+	quarantineLoaded bool          // this host is the home and has read the requests in quarantine
+	nextReleaseCheck time.Time     // when to check next whether an operator released a request
+	nextRead         time.Time     // when to read the table next
+	retry            time.Duration // between reads while this host is alone
 }
 
-func (j *joining) look(ctx context.Context, now time.Time) {
-	n := j.node
+func (t *hostTableSync) check(ctx context.Context, now time.Time) {
+	n := t.node
 	live := n.members.Live()
 	alone := live == 1
 	home := n.isHome() && n.gossip.Settled()
-	j.learnQuarantine(ctx, now, home)
+	t.loadQuarantine(ctx, now, home)
 	if !alone && !home {
-		j.retry = hostsRetry
+		t.retry = hostTableRetry
 		return
 	}
-	if j.outdated(live) && n.writeHost(ctx, live) == nil {
-		j.written = live
+	if t.outdated(live) && n.writeHostRow(ctx, live) == nil {
+		t.writtenSize = live
 	}
-	if now.Before(j.due) {
+	if now.Before(t.nextRead) {
 		return
 	}
-	n.readHosts(ctx)
+	n.readHostTable(ctx)
 	if alone {
-		j.retry = min(hostsPeriod, 2*j.retry)
-		j.due = now.Add(j.retry/2 + rand.N(j.retry))
+		t.retry = min(hostTablePeriod, 2*t.retry)
+		t.nextRead = now.Add(t.retry/2 + rand.N(t.retry))
 		return
 	}
-	j.due = now.Add(hostsPeriod)
+	t.nextRead = now.Add(hostTablePeriod)
 }
 
-// learnQuarantine reads which requests are in quarantine when this host has become the
-// home: all that knew may have lost their power together. While one is, it looks now and
-// then whether an operator has released it.
-func (j *joining) learnQuarantine(ctx context.Context, now time.Time, home bool) {
-	kept := j.node.kept
+// loadQuarantine reads the requests in quarantine when this host has become the home, since all
+// hosts that knew them may have lost power together. While a request is in quarantine, it also
+// checks every releaseCheckPeriod whether an operator has released one.
+func (t *hostTableSync) loadQuarantine(ctx context.Context, now time.Time, home bool) {
+	quarantined := t.node.quarantined
 	switch {
 	case !home:
-		j.led = false
-	case !j.led || kept.any() && now.After(j.release):
-		j.led = kept.read(ctx, j.node.loop) == nil
-		j.release = now.Add(releasePeriod)
+		t.quarantineLoaded = false
+	case !t.quarantineLoaded || quarantined.hasAny() && now.After(t.nextReleaseCheck):
+		t.quarantineLoaded = quarantined.load(ctx, t.node.loop) == nil
+		t.nextReleaseCheck = now.Add(releaseCheckPeriod)
 	}
 }
 
-// outdated reports whether this host's row tells a size that is far from live.
-func (j *joining) outdated(live int) bool {
-	was, is := float64(j.written), float64(live)
-	return is > was*sizeChange || was > is*sizeChange
+// outdated reports whether live differs from the size in this host's row by fleetSizeFactor.
+func (t *hostTableSync) outdated(live int) bool {
+	was, is := float64(t.writtenSize), float64(live)
+	return is > was*fleetSizeFactor || was > is*fleetSizeFactor
 }
 
-func (n *Node) writeHost(ctx context.Context, live int) error {
+func (n *Node) writeHostRow(ctx context.Context, live int) error {
 	row, err := json.Marshal(hostRow{Control: n.peerAddress(), Hosts: live})
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "encode this host's row")
 	}
-	return n.plat.Writer.Put(ctx, n.plat.HostTable, n.set.Host, row)
+	return n.platform.Writer.Put(ctx, n.platform.HostTable, n.settings.Host, row)
 }
 
-// readHosts reads the table of hosts. Without an answer what is known stays.
-func (n *Node) readHosts(ctx context.Context) {
-	rows, _, err := n.plat.Tables.Snapshot(ctx, n.plat.HostTable)
+// readHostTable reads the table of hosts. If the store does not answer, the previous list
+// stays.
+func (n *Node) readHostTable(ctx context.Context) {
+	rows, _, err := n.platform.Tables.Snapshot(ctx, n.platform.HostTable)
 	if err != nil {
-		return // those who follow the tables log that the store is away
+		return // the tables' watchers log that the store is down
 	}
-	list := hostList{hosts: len(rows)}
+	list := hostList{fleetSize: len(rows)}
 	for _, r := range rows {
 		var h hostRow
 		if json.Unmarshal(r.Value, &h) == nil && h.Control != "" {
 			list.seeds = append(list.seeds, h.Control)
-			list.hosts = max(list.hosts, h.Hosts)
+			list.fleetSize = max(list.fleetSize, h.Hosts)
 		}
 	}
-	n.listed.Store(&list)
+	n.storedHosts.Store(&list)
 }
 
-// listedHosts is how many hosts others or the store told of, 0 before any did.
-func (n *Node) listedHosts() int {
-	told := n.gossip.Told()
-	if list := n.listed.Load(); list != nil {
-		told = max(told, list.hosts)
+// knownFleetSize is the largest fleet size reported by other hosts or the store, 0 before any
+// report.
+func (n *Node) knownFleetSize() int {
+	size := n.gossip.Told()
+	if list := n.storedHosts.Load(); list != nil {
+		size = max(size, list.fleetSize)
 	}
-	return told
+	return size
 }
 
-// seedAddresses are the hosts to join through.
+// seedAddresses returns the addresses of hosts to join through.
 func (n *Node) seedAddresses() []string {
-	seeds := n.set.Seeds
-	if list := n.listed.Load(); list != nil {
+	seeds := n.settings.Seeds
+	if list := n.storedHosts.Load(); list != nil {
 		seeds = append(list.seeds[:len(list.seeds):len(list.seeds)], seeds...)
 	}
 	return seeds
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,30 +32,29 @@
 )
 
 const (
-	timelineEvents = 256
-	memberHorizon  = 60 * time.Second
-	// lookupTTL is how long callers may keep addresses. Short, since a host
-	// that ends is still tried until then.
+	timelineEvents  = 256
+	memberRetention = 60 * time.Second
+	// lookupTTL is how long callers may keep addresses. It is short, since callers still try
+	// the address of a host that has ended until then.
 	lookupTTL = 2 * time.Second
-	// leaveWait is how long a host that shuts down takes new requests: callers
-	// keep addresses for the look-up's time, and the platform's bound on
-	// requests after SIGTERM is 3 s.
-	leaveWait = 2500 * time.Millisecond
-	// exitMargin is left of the grace time to end the process itself.
+	// shutdownDelay is how long a host that shuts down still accepts new requests: callers keep
+	// addresses for lookupTTL, and the platform's limit for requests after SIGTERM is 3 s.
+	shutdownDelay = 2500 * time.Millisecond
+	// exitMargin is the part of the grace time that is left for the process to exit.
 	exitMargin    = 300 * time.Millisecond
 	drainPoll     = 20 * time.Millisecond
 	headerTimeout = 5 * time.Second
-	// idleTimeout is above the longest that the configuration lets callers
-	// keep an idle connection, so that none is closed as a request comes in.
-	idleTimeout = 30 * time.Second
-	maxHeader   = 64 << 10
-	// memoryShare is the part of the memory limit at which the collector
-	// works harder.
+	// idleTimeout exceeds the longest time that the configuration lets callers keep an idle
+	// connection, so that the host closes none while a request arrives.
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 64 << 10
+	// memoryShare is the fraction of the memory limit that becomes the garbage collector's soft
+	// limit.
 	memoryShare = 0.7
 )
 
-// Platform is what the adapter gives: the store, and the dialects of header
-// fields, tables and the small HTTP interfaces.
+// Platform is what the platform adapter provides: the store, and the platform's formats of
+// header fields, table rows and small HTTP interfaces.
 type Platform struct {
 	Tables        store.Tables
 	Writer        store.Writer
@@ -64,10 +63,10 @@
 	OperatorTable string
 	ServerTable   string
 	HostTable     string
-	// QuarantineTable keeps the requests in quarantine for hosts that start.
+	// QuarantineTable holds the requests in quarantine, so that hosts that start can read them.
 	QuarantineTable string
-	// StatusTable tells operators how far their orders got, RolloutTable is the system's own
-	// for hosts that take one up.
+	// StatusTable shows operators the progress of their rollout orders. RolloutTable is the
+	// scheduler's own record, from which a new home resumes a rollout.
 	StatusTable   string
 	RolloutTable  string
 	DecodeOrder   func(key string, value []byte, version int64) (o rollout.Order, ok bool, err error)
@@ -80,47 +79,47 @@
 
 // Node is one running entry host.
 type Node struct {
-	set      Settings
-	plat     Platform
-	inc      ident.Incarnation
-	events   *event.Recorder
-	metrics  metrics.Registry
-	members  *member.Table
-	gossip   *member.Gossip
-	peers    *peer.Manager
-	routes   routing.Current
-	servers  *servers
-	loop     *dispatch.Loop
-	home     *dispatch.Home
-	client   *dispatch.Client
-	follower *dispatch.Follower
-	pool     *upstream.Pool
-	relays   *store.Relays
-	entry    *entry.Handler
-	traffic  peer.Traffic
+	settings    Settings
+	platform    Platform
+	incarnation ident.Incarnation
+	events      *event.Recorder
+	metrics     metrics.Registry
+	members     *member.Table
+	gossip      *member.Gossip
+	peers       *peer.Manager
+	routes      routing.Current
+	servers     *servers
+	loop        *dispatch.Loop
+	home        *dispatch.Home
+	client      *dispatch.Client
+	follower    *dispatch.Follower
+	pool        *upstream.Pool
+	relays      *store.Relays
+	entry       *entry.Handler
+	traffic     peer.Traffic
 
-	control   net.Listener
-	serve     []*http.Server
-	front     *http.Server
-	listed    atomic.Pointer[hostList]
-	kept      *quarantineStore
-	rollouts  *rollouts
-	joined    chan struct{} // closed when this host may know whom to ask for tables
-	configRow int64         // version of the newest row decoded; the watcher owns it
-	leaving   atomic.Bool
-	share     sched.Share // of the loop; the follower owns it
-	duties    sync.WaitGroup
+	control          net.Listener
+	httpServers      []*http.Server
+	callerServer     *http.Server
+	storedHosts      atomic.Pointer[hostList]
+	quarantined      *quarantineStore
+	rollouts         *rollouts
+	joined           chan struct{} // closed when the search for other hosts is over and tables may be read
+	configRowVersion int64         // version of the newest configuration row applied; only the watcher uses it
+	leaving          atomic.Bool
+	share            sched.Share // last passed to the loop; only the follower uses it
+	tasks            sync.WaitGroup
 }
 
-// New opens the listeners and builds the duties; Run starts them. It fails
+// New opens the listeners for other hosts and builds the components; Run starts them. It fails
 // with BadSetting when an address is taken.
-func New(set Settings, plat Platform, logger log.Logger) (*Node, error) {
+func New(settings Settings, platform Platform, logger log.Logger) (*Node, error) {
 	n := &Node{
-		set: set, plat: plat, inc: ident.NewIncarnation(), metrics: metrics.NewRegistry(),
+		settings: settings, platform: platform, incarnation: ident.NewIncarnation(), metrics: metrics.NewRegistry(),
 		pool: upstream.NewPool(), relays: store.NewRelays(), joined: make(chan struct{}),
 	}
-	n.events = event.NewRecorder(set.Host, n.inc.String(), timelineEvents, logger)
-	limitMemory(set.MemoryBytes)
+	n.events = event.NewRecorder(settings.Host, n.incarnation.String(), timelineEvents, logger)
+	limitMemory(settings.MemoryBytes)
 	packets, err := n.listen()
 	if err != nil {
 		return nil, err
@@ -129,9 +128,8 @@
 	return n, nil
 }
 
-// gcPercent is how much garbage may gather, as a part of what lives. Memory is
-// dear on these hosts and processors are idle, so the collector runs twice as often as
-// it would.
+// gcPercent is the heap growth between collections, in percent of the live heap. It is half of
+// Go's default: memory is scarce on these hosts, while processors are idle.
 const gcPercent = 50
 
 func limitMemory(bytes int64) {
@@ -141,93 +139,97 @@
 	}
 }
 
-func (n *Node) peerAddress() string { return net.JoinHostPort(n.set.IP, strconv.Itoa(n.set.PeerPort)) }
+func (n *Node) peerAddress() string {
+	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.PeerPort))
+}
 
 func (n *Node) listen() (net.PacketConn, error) {
 	packets, err := net.ListenPacket("udp", n.peerAddress())
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSetting, err, "listen for hosts")
+		return nil, failure.Wrap(failure.BadSetting, err, "listen for other hosts on UDP")
 	}
 	if n.control, err = net.Listen("tcp", n.peerAddress()); err != nil {
-		return nil, failure.Wrap(failure.BadSetting, err, "listen for hosts")
+		return nil, failure.Wrap(failure.BadSetting, err, "listen for other hosts on TCP")
 	}
 	return packets, nil
 }
 
 func (n *Node) build(packets net.PacketConn) {
 	self := &wire.Member{
-		Incarnation: uint64(n.inc), Host: n.set.Host, Zone: n.set.AvailabilityZone,
-		CallerAddress: n.set.EntryAddress, ControlAddress: n.peerAddress(),
-		Capacity:  uint32(n.set.ProcessorShare * 1000),
+		Incarnation: uint64(n.incarnation), Host: n.settings.Host, Zone: n.settings.AvailabilityZone,
+		CallerAddress: n.settings.EntryAddress, ControlAddress: n.peerAddress(),
+		Capacity:  uint32(n.settings.ProcessorShare * 1000),
 		StartedMs: time.Now().UnixMilli(),
 	}
-	n.members = member.NewTable(self, memberHorizon, n.events)
-	n.gossip = member.NewGossip(n.members, packets, fleet, member.DefaultTiming(), n.seedAddresses, n.events)
-	n.peers = peer.NewManager(peer.Identity{Incarnation: n.inc, Host: n.set.Host, Fleet: fleet},
-		n.peerAddress(), n.serveStream, peerNews{n.members}, n.events, &n.traffic)
-	n.peers.DialFrom(net.ParseIP(n.set.IP))
-	n.loop = dispatch.NewLoop(n.set.Policy, n.events, n.deliver)
-	n.kept = newQuarantineStore(n.set.Host, n.plat.QuarantineTable, n.plat.Tables, n.plat.Writer, n.isHome, n.events)
-	n.loop.OnSuspects(n.spreadSuspects)
-	n.rollouts = newRollouts(n.set.Host+" "+n.inc.String(), n.plat, n.loop, func() bool { return n.home.Leads() }, n.events)
+	n.members = member.NewTable(self, memberRetention, n.events)
+	n.gossip = member.NewGossip(n.members, packets, fleetName, member.DefaultTiming(), n.seedAddresses, n.events)
+	n.peers = peer.NewManager(peer.Identity{Incarnation: n.incarnation, Host: n.settings.Host, Fleet: fleetName},
+		n.peerAddress(), n.serveStream, peerObserver{n.members}, n.events, &n.traffic)
+	n.peers.DialFrom(net.ParseIP(n.settings.IP))
+	n.loop = dispatch.NewLoop(n.settings.Policy, n.events, n.deliver)
+	n.quarantined = newQuarantineStore(n.settings.Host, n.platform.QuarantineTable, n.platform.Tables, n.platform.Writer, n.isHome, n.events)
+	n.loop.OnSuspects(n.publishSuspects)
+	n.rollouts = newRollouts(n.settings.Host+" "+n.incarnation.String(), n.platform, n.loop, func() bool { return n.home.Leads() }, n.events)
 	n.loop.OnRollouts(func(steps []rollout.Standing) {
 		n.home.TellRollouts(steps)
-		n.rollouts.stepped(steps)
+		n.rollouts.onSteps(steps)
 	})
 	n.loop.Do(func(_ sched.Time, s *sched.Scheduler) {
-		s.SetOwner(uint64(n.inc))
-		s.SetHost(n.set.Host)
-		if n.set.EntryLapse > 0 {
-			s.SetLapse(n.set.EntryLapse)
+		s.SetOwner(uint64(n.incarnation))
+		s.SetHost(n.settings.Host)
+		if n.settings.EntryLapse > 0 {
+			s.SetLapse(n.settings.EntryLapse)
 		}
-		s.SetBounds(n.set.Rollouts)
+		s.SetBounds(n.settings.Rollouts)
 	})
 	n.home = dispatch.NewHome(n.loop, func() []uint64 { return dispatch.NextHomes(n.members) })
-	n.servers = newServers(n.plat.DecodeServer, n.events, n.applyServers)
-	n.client = dispatch.NewClient(n.inc, n.set.AvailabilityZone, n.loop, n.servers, n.events)
-	n.follower = dispatch.NewFollower(n.client, n.members, n.peers, n.home, n.events, n.listedHosts, n.setShare)
+	n.servers = newServers(n.platform.DecodeServer, n.events, n.applyServers)
+	n.client = dispatch.NewClient(n.incarnation, n.settings.AvailabilityZone, n.loop, n.servers, n.events)
+	n.follower = dispatch.NewFollower(n.client, n.members, n.peers, n.home, n.events, n.knownFleetSize, n.setShare)
 	n.entry = entry.NewHandler(entry.Sources{
-		Routes: &n.routes, Places: n.client, Pool: n.pool, Dialect: n.plat.Dialect,
+		Routes: &n.routes, Places: n.client, Pool: n.pool, Dialect: n.platform.Dialect,
 		Events: n.events, Meter: entry.NewMeter(n.metrics),
 	})
 }
 
-// fleet keeps the sessions of different systems apart; a platform runs one.
-const fleet = "platform"
+// fleetName is announced when sessions open, so that hosts of different systems do not connect.
+// A platform runs one system.
+const fleetName = "platform"
 
-// peerNews passes on what sessions tell about other hosts.
-type peerNews struct{ members *member.Table }
+// peerObserver passes what sessions find out about other hosts to the member table.
+type peerObserver struct{ members *member.Table }
 
 // ProveDead implements peer.Observer.
-func (p peerNews) ProveDead(inc ident.Incarnation, how string) { p.members.ProveDead(inc, how) }
+func (p peerObserver) ProveDead(inc ident.Incarnation, how string) { p.members.ProveDead(inc, how) }
 
-// Broke implements peer.Observer. A broken session alone proves nothing;
-// probes find out.
-func (p peerNews) Broke(ident.Incarnation) {}
+// Broke implements peer.Observer. A broken session alone does not prove that the host is dead;
+// membership probes decide.
+func (p peerObserver) Broke(ident.Incarnation) {}
 
-// deliver takes the decisions of one round of the loop.
-func (n *Node) deliver(out []sched.Decision) {
-	var here, others []sched.Decision
-	for _, d := range out {
-		if d.Holder == uint64(n.inc) {
-			here = append(here, d)
+// deliver passes the decisions of one scheduling round to this host's own client and to the
+// other holders, the hosts that received the requests.
+func (n *Node) deliver(decisions []sched.Decision) {
+	var local, remote []sched.Decision
+	for _, d := range decisions {
+		if d.Holder == uint64(n.incarnation) {
+			local = append(local, d)
 		} else {
-			others = append(others, d)
+			remote = append(remote, d)
 		}
 	}
-	if len(here) > 0 {
-		n.client.DeliverLocal(here)
+	if len(local) > 0 {
+		n.client.DeliverLocal(local)
 	}
-	if len(others) > 0 {
-		n.home.Deliver(others)
+	if len(remote) > 0 {
+		n.home.Deliver(remote)
 	}
 }
 
-// spreadSuspects tells the other hosts and the store what has changed of requests that end
-// servers.
-func (n *Node) spreadSuspects(news []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
+// publishSuspects sends changed records of requests under which servers ended to the other
+// hosts and to the store.
+func (n *Node) publishSuspects(news []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
 	n.home.TellSuspects(news, lifted)
-	n.kept.note(news)
+	n.quarantined.applyChanges(news)
 }
 
 func (n *Node) serveStream(st *peer.Stream) {
@@ -237,11 +239,11 @@
 	case wire.StreamKind_STREAM_TABLES:
 		n.relays.Serve(context.Background(), st, n.role)
 	default:
-		_ = st.Close() // a host of another build
+		_ = st.Close() // unknown stream kind: the host runs another version
 	}
 }
 
-// setShare gives the loop its part of all servers and quotas. Only the
+// setShare sets the share of all servers and quotas that this host's loop may use. Only the
 // follower's goroutine calls it.
 func (n *Node) setShare(share sched.Share) {
 	if share == n.share {
@@ -263,19 +265,19 @@
 	return out
 }
 
-// applyConfig takes rows of the operator's table: orders first, since a service may begin to
-// be served with the configuration behind them.
+// applyConfig applies rows of the operator's table. Rollout orders come first, since the
+// configuration in the same update may be the first to serve an ordered service.
 func (n *Node) applyConfig(u store.Update) {
 	for _, row := range u.Rows {
 		if !row.Deleted {
-			n.rollouts.order(row)
+			n.rollouts.applyOrder(row)
 		}
 	}
 	for _, row := range u.Rows {
-		if row.Deleted || row.Version <= n.configRow {
+		if row.Deleted || row.Version <= n.configRowVersion {
 			continue
 		}
-		c, ok, err := n.plat.DecodeConfig(row.Key, row.Value)
+		c, ok, err := n.platform.DecodeConfig(row.Key, row.Value)
 		if err != nil {
 			n.events.Record(event.ConfigRefused, event.Fields{Detail: err.Error()})
 			continue
@@ -283,7 +285,7 @@
 		if !ok {
 			continue
 		}
-		n.configRow = row.Version
+		n.configRowVersion = row.Version
 		t := routing.NewTable(c)
 		if !n.routes.Replace(t) {
 			continue
@@ -299,25 +301,25 @@
 func (n *Node) applyServers(list []sched.Server) {
 	n.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.SetServers(now, list) })
 	go func() {
-		n.pool.Retain(func(s upstream.Server) bool { return n.servers.has(s.ID, s.Address) })
-		n.client.KeepNotices(n.servers.lists)
+		n.pool.Retain(func(s upstream.Server) bool { return n.servers.hasAddress(s.ID, s.Address) })
+		n.client.KeepNotices(n.servers.contains)
 	}()
 }
 
-// addresses lists the entry addresses for a look-up, and how long they hold.
+// addresses lists the entry addresses for a look-up and how long callers may keep them.
 func (n *Node) addresses() (list []string, ttl time.Duration, ok bool) {
 	list = lookupAddresses(n.members.All())
 	return list, lookupTTL, len(list) > 0
 }
 
-// maxAddresses is the most that a look-up may tell.
-const maxAddresses = 64
+// maxLookupAddresses is the most addresses that a look-up may return.
+const maxLookupAddresses = 64
 
-// lookupAddresses draws the hosts that a caller is told: those that answer, and
-// not this one when it leaves.
+// lookupAddresses returns the addresses of up to maxLookupAddresses live hosts, in random
+// order. A host that is leaving is not among them.
 //
-// Guard: callers take no more than maxAddresses. Told in the same order, a fleet
-// of 72 would leave the last 8 without callers and the others with more.
+// Callers keep no more than maxLookupAddresses. With a fixed order, 8 hosts of a fleet of 72
+// would get no callers and the others more than their share.
 func lookupAddresses(members []member.Member) []string {
 	var list []string
 	for _, m := range members {
@@ -326,8 +328,8 @@
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), maxAddresses)]
+	return list[:min(len(list), maxLookupAddresses)]
 }
 
-// ready reports whether callers should come here.
+// ready reports whether callers should use this host.
 func (n *Node) ready() bool { return !n.leaving.Load() && n.routes.Get() != nil }
--- a/internal/node/propagation_test.go
+++ b/internal/node/propagation_test.go
@@ -12,11 +12,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// These specs run the duties that follow the tables of servers and of the operator for whole
-// fleets, in virtual time: hosts that read the store, relays, and what each host knows.
+// These tests run the watchers of the tables of servers and of the operator for whole fleets in
+// virtual time: hosts that read the store, relays, and what each host learns.
 
-// drainBound is how long after the store has acknowledged that a server leaves it may still
-// be sent work, by the size of the fleet.
+// drainBound is how long, by the size of the fleet, a server may still be sent work after the
+// store has acknowledged that it leaves.
 func drainBound(hosts int) time.Duration {
 	switch {
 	case hosts < 50:
@@ -27,56 +27,58 @@
 	return 4 * time.Second
 }
 
-// fleetSizes are the sizes at which the specs run, from the smallest site to the largest
+// fleetSizes are the sizes at which the tests run, from the smallest site to the largest
 // planned one.
 var fleetSizes = []int{6, 60, 195, 390}
 
-// lateSpan is the longest that hosts went on using servers that had left, after the store had
-// acknowledged it, by how these servers left; and lacked a configuration.
-type lateSpan struct{ draining, gone, config time.Duration }
+// propagationDelays holds the longest times, after the store's acknowledgement, that hosts
+// still used servers that had left (draining, or with their entry deleted) and lacked a
+// configuration.
+type propagationDelays struct{ draining, deleted, config time.Duration }
 
-// add takes what a host did after the i-th server left and the configuration changed.
-func (l *lateSpan) add(h *fleetHost, i int, at time.Time) {
-	late := h.lateness(server(i), at)
+// add includes a host's delays after the i-th server left and the configuration changed at the
+// same moment.
+func (d *propagationDelays) add(h *fleetHost, i int, at time.Time) {
+	delay := h.removalDelay(serverName(i), at)
 	if i%2 == 0 {
-		l.draining = max(l.draining, late)
+		d.draining = max(d.draining, delay)
 	} else {
-		l.gone = max(l.gone, late)
+		d.deleted = max(d.deleted, delay)
 	}
-	l.config = max(l.config, h.lacked(i+1, at))
+	d.config = max(d.config, h.configDelay(i+1, at))
 }
 
-func (l lateSpan) check(t *testing.T, who string, hosts int) {
-	for what, late := range map[string]time.Duration{"entry taken away": l.gone, "draining": l.draining, "configuration": l.config} {
+func (d propagationDelays) check(t *testing.T, who string, hosts int) {
+	for what, delay := range map[string]time.Duration{"entry deleted": d.deleted, "draining": d.draining, "configuration": d.config} {
 		t.Run(who+", "+what, func(t *testing.T) {
-			t.Log(late)
-			NewWithT(t).Expect(late).To(BeNumerically("<", drainBound(hosts)))
+			t.Log(delay)
+			NewWithT(t).Expect(delay).To(BeNumerically("<", drainBound(hosts)))
 		})
 	}
 }
 
-// Guards against servers that get work long after they have left: the store turns all its
-// readers and a third of the others away while it serves the rest, and servers leave, by
-// saying so or by taking their entry away, meanwhile and after its return.
+// A server that has left must not get work for long. The store refuses or does not answer all
+// its readers and a third of the other hosts while it serves the rest. Servers drain or delete
+// their entries during the outage and after it.
 func TestServersThatLeaveWhileTheReadersAreTurnedAway(t *testing.T) {
-	for _, how := range []absence{silent, refused} {
+	for _, how := range []availability{silent, refused} {
 		for _, hosts := range fleetSizes {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%d hosts %v seed %d", hosts, how, seed), func(t *testing.T) {
-					var home, inTouch lateSpan
+					var home, connected propagationDelays
 					synctest.Test(t, func(t *testing.T) {
-						f := startFleet(NewWithT(t), hosts, leavers+20, seed)
+						f := startFleet(NewWithT(t), hosts, stoppedServers+20, seed)
 						defer f.stop()
-						var cut []*fleetHost
+						var unavailable []*fleetHost
 						for i, h := range f.hosts {
-							if i < testReaders || i != testReaders && f.seed.IntN(3) == 0 {
-								h.setAbsence(how)
-								cut = append(cut, h)
+							if i < testReaders || i != testReaders && f.rng.IntN(3) == 0 {
+								h.setAvailability(how)
+								unavailable = append(unavailable, h)
 							}
 						}
-						home, inTouch = f.leaveWithout(cut, 9*time.Second)
+						home, connected = f.stopServersDuringOutage(unavailable, 9*time.Second)
 					})
-					inTouch.check(t, "hosts in touch", hosts)
+					connected.check(t, "connected hosts", hosts)
 					home.check(t, "home", hosts)
 				})
 			}
@@ -84,64 +86,66 @@
 	}
 }
 
-// Guards against the same while the home stands still, alone and with the next readers: hosts
-// wait for their word, and dial them in vain.
+// As above, while the home is frozen, alone or with the next readers: the other hosts wait for
+// its updates and fail to connect to it.
 func TestServersThatLeaveWhileReadersStandStill(t *testing.T) {
 	for _, hosts := range fleetSizes {
-		for still := 1; still <= 3; still++ {
-			t.Run(fmt.Sprintf("%d hosts %d still", hosts, still), func(t *testing.T) {
-				var inTouch lateSpan
+		for frozenHosts := 1; frozenHosts <= 3; frozenHosts++ {
+			t.Run(fmt.Sprintf("%d hosts %d frozen", hosts, frozenHosts), func(t *testing.T) {
+				var connected propagationDelays
 				synctest.Test(t, func(t *testing.T) {
-					f := startFleet(NewWithT(t), hosts, leavers+20, uint64(still))
+					f := startFleet(NewWithT(t), hosts, stoppedServers+20, uint64(frozenHosts))
 					defer f.stop()
-					for _, h := range f.hosts[:still] {
-						h.strike(frozen)
+					for _, h := range f.hosts[:frozenHosts] {
+						h.makeUnavailable(frozen)
 					}
-					_, inTouch = f.leaveWithout(f.hosts[:still], 4*time.Second)
+					_, connected = f.stopServersDuringOutage(f.hosts[:frozenHosts], 4*time.Second)
 				})
-				inTouch.check(t, "hosts in touch", hosts)
+				connected.check(t, "connected hosts", hosts)
 			})
 		}
 	}
 }
 
-// Of leavers, one leaves each leaveEvery.
+// One of stoppedServers leaves in each stopInterval.
 const (
-	leavers    = 52
-	leaveEvery = 250 * time.Millisecond
+	stoppedServers = 52
+	stopInterval   = 250 * time.Millisecond
 )
 
-// leaveWithout lets servers leave while hosts are away, and after their return. It returns how
-// late the home was, whose list decides for all hosts, and how late those in touch all along.
-func (f *testFleet) leaveWithout(away []*fleetHost, span time.Duration) (home, inTouch lateSpan) {
-	begun := time.Now()
-	left := make([]time.Time, leavers)
-	for i := range leavers {
-		time.Sleep(time.Until(begun.Add(time.Duration(i)*leaveEvery + time.Duration(f.seed.Int64N(int64(leaveEvery))))))
-		if time.Since(begun) > span {
-			for _, h := range away {
-				h.setAbsence(present)
+// stopServersDuringOutage makes servers leave while hosts are unavailable, and after they are
+// back. It returns the delays of the home, whose server list decides for all hosts, and those
+// of the hosts that were connected throughout.
+func (f *testFleet) stopServersDuringOutage(unavailable []*fleetHost, outage time.Duration) (home, connected propagationDelays) {
+	start := time.Now()
+	stoppedAt := make([]time.Time, stoppedServers)
+	for i := range stoppedServers {
+		time.Sleep(time.Until(start.Add(time.Duration(i)*stopInterval + time.Duration(f.rng.Int64N(int64(stopInterval))))))
+		if time.Since(start) > outage {
+			for _, h := range unavailable {
+				h.setAvailability(present)
 			}
 		}
-		f.leave(i)
-		f.configure(i + 1)
-		left[i] = time.Now()
+		f.stopServer(i)
+		f.writeConfig(i + 1)
+		stoppedAt[i] = time.Now()
 	}
 	time.Sleep(10 * time.Second)
-	for i, at := range left {
+	for i, at := range stoppedAt {
 		home.add(f.hosts[0], i, at)
 		for _, h := range f.hosts {
-			if !slices.Contains(away, h) {
-				inTouch.add(h, i, at)
+			if !slices.Contains(unavailable, h) {
+				connected.add(h, i, at)
 			}
 		}
 	}
-	return home, inTouch
+	return home, connected
 }
 
-// Guards against the same in outages of any part of the fleet, one after the other: a third to
-// a half of the hosts hear nothing of the store or are refused, or some readers stand still.
-// PROPAGATION_SEEDS is how many seeds are played; without it one, and those that failed once.
+// As above, in a sequence of outages of random parts of the fleet: a third to a half of the
+// hosts get no answer from the store or are refused, or some readers are frozen.
+// PROPAGATION_SEEDS is the number of seeds to run. Without it the test runs seed 0 and the
+// seeds that failed before.
 func TestServersThatLeaveInRandomOutages(t *testing.T) {
 	seeds := []uint64{0, 1, 4, 12, 14, 18, 20}
 	if n, err := strconv.Atoi(os.Getenv("PROPAGATION_SEEDS")); err == nil {
@@ -153,109 +157,111 @@
 	for _, hosts := range []int{6, 60} {
 		for _, seed := range seeds {
 			t.Run(fmt.Sprintf("%d hosts seed %d", hosts, seed), func(t *testing.T) {
-				var late lateSpan
-				synctest.Test(t, func(t *testing.T) { late = leaveInRandomOutages(NewWithT(t), hosts, seed) })
-				late.check(t, "hosts in touch", hosts)
+				var delays propagationDelays
+				synctest.Test(t, func(t *testing.T) { delays = stopServersInRandomOutages(NewWithT(t), hosts, seed) })
+				delays.check(t, "connected hosts", hosts)
 			})
 		}
 	}
 }
 
-// leaveInRandomOutages returns how late hosts were that were in touch from an outage before
-// until the bound.
-func leaveInRandomOutages(g Gomega, hosts int, seed uint64) (late lateSpan) {
+// stopServersInRandomOutages returns the delays of the hosts that stayed connected to the store
+// during an outage, until the bound has passed.
+func stopServersInRandomOutages(g Gomega, hosts int, seed uint64) (delays propagationDelays) {
 	const (
-		outages = 4
-		rest    = 4 * time.Second // longer than any bound of these sizes
+		outages  = 4
+		recovery = 4 * time.Second // exceeds drainBound at these sizes
 	)
-	f := startFleet(g, hosts, leavers+20, seed)
+	f := startFleet(g, hosts, stoppedServers+20, seed)
 	defer f.stop()
 	next := 0
 	for range outages {
-		kind := absence(1 + f.seed.IntN(3))
-		away := f.draw(kind)
-		for _, h := range away {
-			h.strike(kind)
+		kind := availability(1 + f.rng.IntN(3))
+		unavailable := f.pickHosts(kind)
+		for _, h := range unavailable {
+			h.makeUnavailable(kind)
 		}
-		span := time.Duration(3+f.seed.IntN(7)) * time.Second
-		left := map[int]time.Time{}
-		for begun := time.Now(); time.Since(begun) < span+rest; {
-			if time.Since(begun) > span {
-				for _, h := range away {
-					h.setAbsence(present)
+		outage := time.Duration(3+f.rng.IntN(7)) * time.Second
+		stoppedAt := map[int]time.Time{}
+		for start := time.Now(); time.Since(start) < outage+recovery; {
+			if time.Since(start) > outage {
+				for _, h := range unavailable {
+					h.setAvailability(present)
 				}
 			}
-			if time.Since(begun) < span+rest-drainBound(hosts) && next < leavers {
-				f.leave(next)
-				f.configure(next + 1)
-				left[next] = time.Now()
+			if time.Since(start) < outage+recovery-drainBound(hosts) && next < stoppedServers {
+				f.stopServer(next)
+				f.writeConfig(next + 1)
+				stoppedAt[next] = time.Now()
 				next++
 			}
-			time.Sleep(time.Duration(300+f.seed.IntN(900)) * time.Millisecond)
+			time.Sleep(time.Duration(300+f.rng.IntN(900)) * time.Millisecond)
 		}
-		for i, at := range left {
+		for i, at := range stoppedAt {
 			for _, h := range f.hosts {
-				if !slices.Contains(away, h) {
-					late.add(h, i, at)
+				if !slices.Contains(unavailable, h) {
+					delays.add(h, i, at)
 				}
 			}
 		}
 	}
-	return late
+	return delays
 }
 
-// draw picks the hosts that an outage strikes: some readers that stand still, or a part of all.
-func (f *testFleet) draw(kind absence) (away []*fleetHost) {
+// pickHosts selects the hosts that an outage affects: some readers if they freeze, else a
+// random part of all hosts.
+func (f *testFleet) pickHosts(kind availability) (unavailable []*fleetHost) {
 	if kind == frozen {
-		return f.hosts[:1+f.seed.IntN(3)]
+		return f.hosts[:1+f.rng.IntN(3)]
 	}
-	share := 1/3.0 + f.seed.Float64()/6
+	share := 1/3.0 + f.rng.Float64()/6
 	for _, h := range f.hosts {
-		if f.seed.Float64() < share {
-			away = append(away, h)
+		if f.rng.Float64() < share {
+			unavailable = append(unavailable, h)
 		}
 	}
-	return away
+	return unavailable
 }
 
-// Guards against a fleet without servers: the store is away for all, entries of servers that
-// live lapse meanwhile, and are back within two seconds of its return.
+// A fleet must not lose its servers in an outage of the store. The store fails for all hosts,
+// the entries of live servers expire meanwhile, and they are written again within two seconds
+// after the outage.
 func TestServersWhoseEntriesLapseInAnOutage(t *testing.T) {
-	for _, how := range []absence{silent, refused} {
+	for _, how := range []availability{silent, refused} {
 		for _, hosts := range fleetSizes {
-			for _, away := range []time.Duration{3 * time.Second, 4500 * time.Millisecond, 9 * time.Second} {
-				t.Run(fmt.Sprintf("%d hosts %v for %v", hosts, how, away), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { lapseInAnOutage(NewWithT(t), hosts, how, away) })
+			for _, outage := range []time.Duration{3 * time.Second, 4500 * time.Millisecond, 9 * time.Second} {
+				t.Run(fmt.Sprintf("%d hosts %v for %v", hosts, how, outage), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { expireEntriesInOutage(NewWithT(t), hosts, how, outage) })
 				})
 			}
 		}
 	}
 }
 
-func lapseInAnOutage(g Gomega, hosts int, how absence, away time.Duration) {
+func expireEntriesInOutage(g Gomega, hosts int, how availability, outage time.Duration) {
 	const servers = 40
 	f := startFleet(g, hosts, servers, 1)
 	defer f.stop()
 	for _, h := range f.hosts {
-		h.setAbsence(how)
+		h.setAvailability(how)
 	}
-	time.Sleep(away)
+	time.Sleep(outage)
 	for i := range servers {
-		f.tables[serverTable].write(gone(server(i)))
+		f.tables[serverTable].write(deletedRow(serverName(i)))
 	}
 	for _, h := range f.hosts {
-		h.setAbsence(present)
+		h.setAvailability(present)
 	}
 	returned := time.Now()
 	for i := range servers {
 		time.Sleep(time.Until(returned.Add(time.Duration(i) * 1900 * time.Millisecond / servers)))
-		f.tables[serverTable].write(ready(server(i)))
+		f.tables[serverTable].write(readyRow(serverName(i)))
 		for _, h := range f.hosts {
-			g.Expect(h.uses()).To(Equal(servers), "host %d of %d, %v after the return", h.index, hosts, time.Since(returned))
+			g.Expect(h.countUsable()).To(Equal(servers), "host %d of %d, %v after the outage", h.index, hosts, time.Since(returned))
 		}
 	}
 	time.Sleep(5 * time.Second)
 	for _, h := range f.hosts {
-		g.Expect(h.uses()).To(Equal(servers))
+		g.Expect(h.countUsable()).To(Equal(servers))
 	}
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -13,47 +13,48 @@
 )
 
 const (
-	// keepRetry is how long after a failed write the next one is tried, to keepRetryMost:
-	// a store that is away for seconds gets a few calls.
-	keepRetry     = 250 * time.Millisecond
-	keepRetryMost = 4 * time.Second
-	// releasePeriod is how often the home looks whether an operator has released a request,
-	// while one is in quarantine.
-	releasePeriod = 10 * time.Second
-	// keptFor is how long a row is believed. A caller that comes again after that ends
-	// three more servers at most.
-	keptFor = 24 * time.Hour
+	// minWriteRetry is the delay before a failed write is retried; it doubles up to
+	// maxWriteRetry, so that an outage of the store of a few seconds costs few calls.
+	minWriteRetry = 250 * time.Millisecond
+	maxWriteRetry = 4 * time.Second
+	// releaseCheckPeriod is how often the home checks whether an operator has released a
+	// request, while one is in quarantine.
+	releaseCheckPeriod = 10 * time.Second
+	// quarantineRowTTL is how long a row is in force. If the request comes again after that, it
+	// ends at most three more servers.
+	quarantineRowTTL = 24 * time.Hour
 )
 
-// quarantineStore keeps the requests in quarantine in the platform's store, where they
-// outlive all hosts. The host that puts a request there writes its row, a new home what that one
-// could not, and only the home deletes it: two calls for each. mu guards due and known.
+// quarantineStore keeps the requests in quarantine in the platform's store, where they outlast
+// all hosts. The host that quarantines a request writes its row, and a new home writes it if
+// that host could not. Only the home deletes the row. Each request takes two calls. mu guards
+// pending and known.
 //
-// Guard: when all hosts lose their power at once, nothing that they knew is left, and the
-// request would end three servers more each time.
+// Without the rows, a power loss of all hosts at once would lose the quarantine, and the
+// request would end three more servers each time.
 type quarantineStore struct {
 	host   string
 	table  string
 	tables store.Tables
 	writer store.Writer
 	events *event.Recorder
-	leads  func() bool // this host is the home
+	isHome func() bool // this host is the home
 	wake   chan struct{}
 
-	mu    sync.Mutex
-	due   map[quarantine.Fingerprint]*quarantine.Row // to be written; nil: to be deleted
-	known map[quarantine.Fingerprint]quarantine.Row  // in quarantine
+	mu      sync.Mutex
+	pending map[quarantine.Fingerprint]*quarantine.Row // rows to write; nil: row to delete
+	known   map[quarantine.Fingerprint]quarantine.Row  // rows of the requests in quarantine
 }
 
-func newQuarantineStore(host, table string, tables store.Tables, writer store.Writer, leads func() bool, events *event.Recorder) *quarantineStore {
+func newQuarantineStore(host, table string, tables store.Tables, writer store.Writer, isHome func() bool, events *event.Recorder) *quarantineStore {
 	return &quarantineStore{
-		host: host, table: table, tables: tables, writer: writer, leads: leads, events: events, wake: make(chan struct{}, 1),
-		due: map[quarantine.Fingerprint]*quarantine.Row{}, known: map[quarantine.Fingerprint]quarantine.Row{},
+		host: host, table: table, tables: tables, writer: writer, isHome: isHome, events: events, wake: make(chan struct{}, 1),
+		pending: map[quarantine.Fingerprint]*quarantine.Row{}, known: map[quarantine.Fingerprint]quarantine.Row{},
 	}
 }
 
-// note takes what has changed. It does not block.
-func (q *quarantineStore) note(records []quarantine.Record) {
+// applyChanges takes over changed records. It does not block.
+func (q *quarantineStore) applyChanges(records []quarantine.Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range records {
@@ -63,12 +64,12 @@
 			row := quarantine.RowOf(time.Now(), r)
 			q.known[r.Fingerprint] = row
 			if r.By == q.host {
-				q.due[r.Fingerprint] = &row
+				q.pending[r.Fingerprint] = &row
 			}
 		case !r.Quarantined && known:
 			delete(q.known, r.Fingerprint)
-			if q.leads() {
-				q.due[r.Fingerprint] = nil
+			if q.isHome() {
+				q.pending[r.Fingerprint] = nil
 			}
 		}
 	}
@@ -82,14 +83,14 @@
 	}
 }
 
-// any reports whether a request is in quarantine.
-func (q *quarantineStore) any() bool {
+// hasAny reports whether a request is in quarantine.
+func (q *quarantineStore) hasAny() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.known) > 0
 }
 
-// run writes what is due until ctx ends.
+// run writes pending changes until ctx ends.
 func (q *quarantineStore) run(ctx context.Context) {
 	for {
 		select {
@@ -97,23 +98,23 @@
 		case <-ctx.Done():
 			return
 		}
-		for retry := keepRetry; !q.write(ctx); retry = min(keepRetryMost, 2*retry) {
-			if !pause(ctx, retry) {
+		for retry := minWriteRetry; !q.flush(ctx); retry = min(maxWriteRetry, 2*retry) {
+			if !sleep(ctx, retry) {
 				return
 			}
 		}
 	}
 }
 
-// write brings the store up to date and reports whether it is.
-func (q *quarantineStore) write(ctx context.Context) bool {
+// flush writes all pending changes and reports whether it succeeded.
+func (q *quarantineStore) flush(ctx context.Context) bool {
 	for {
 		f, row, ok := q.next()
 		if !ok {
 			return true
 		}
 		if err := q.writeRow(ctx, f, row); err != nil {
-			q.putBack(f, row)
+			q.requeue(f, row)
 			return false
 		}
 	}
@@ -122,19 +123,19 @@
 func (q *quarantineStore) next() (f quarantine.Fingerprint, row *quarantine.Row, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for f, row = range q.due {
-		delete(q.due, f)
+	for f, row = range q.pending {
+		delete(q.pending, f)
 		return f, row, true
 	}
 	return f, nil, false
 }
 
-// putBack keeps what could not be written, unless something newer is due.
-func (q *quarantineStore) putBack(f quarantine.Fingerprint, row *quarantine.Row) {
+// requeue marks a change as pending again after a failed write, unless there is a newer one.
+func (q *quarantineStore) requeue(f quarantine.Fingerprint, row *quarantine.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, newer := q.due[f]; !newer {
-		q.due[f] = row
+	if _, newer := q.pending[f]; !newer {
+		q.pending[f] = row
 	}
 }
 
@@ -142,16 +143,16 @@
 	if row == nil {
 		return q.writer.Delete(ctx, q.table, f.String())
 	}
-	text, err := row.Encode()
+	encoded, err := row.Encode()
 	if err != nil {
 		return err
 	}
-	return q.writer.Put(ctx, q.table, f.String(), text)
+	return q.writer.Put(ctx, q.table, f.String(), encoded)
 }
 
-// read tells the loop which requests are in quarantine or were released. It fails with
-// StoreDown; what is known stays then.
-func (q *quarantineStore) read(ctx context.Context, loop *dispatch.Loop) error {
+// load reads the rows and passes the requests in quarantine and those released by an operator
+// to the loop. It fails with StoreDown; the known requests stay then.
+func (q *quarantineStore) load(ctx context.Context, loop *dispatch.Loop) error {
 	rows, _, err := q.tables.Snapshot(ctx, q.table)
 	if err != nil {
 		return err
@@ -166,37 +167,37 @@
 			continue
 		}
 		listed[f] = true
-		old := !row.Released && row.Age(now) > keptFor
-		if !old {
+		expired := !row.Released && row.Age(now) > quarantineRowTTL
+		if !expired {
 			records = append(records, row.Record(now, f))
 		}
-		if old || row.Released {
-			q.forget(f)
+		if expired || row.Released {
+			q.scheduleDelete(f)
 		}
 	}
-	q.repair(listed)
+	q.rewriteMissing(listed)
 	loop.LearnSuspects(records)
 	return nil
 }
 
-// repair has rows written that are missing: the host that put the request there was lost
-// before the store took it.
-func (q *quarantineStore) repair(listed map[quarantine.Fingerprint]bool) {
+// rewriteMissing schedules writes of rows that the store lacks: the host that quarantined the
+// request was lost before its write reached the store.
+func (q *quarantineStore) rewriteMissing(listed map[quarantine.Fingerprint]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for f, row := range q.known {
 		if !listed[f] {
-			q.due[f] = &row
+			q.pending[f] = &row
 		}
 	}
 	q.wakeUp()
 }
 
-// forget has a row deleted that is not needed any more.
-func (q *quarantineStore) forget(f quarantine.Fingerprint) {
+// scheduleDelete schedules the deletion of a row that is no longer needed.
+func (q *quarantineStore) scheduleDelete(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.known, f)
-	q.due[f] = nil
+	q.pending[f] = nil
 	q.wakeUp()
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -14,60 +14,62 @@
 )
 
 const (
-	// rolloutPeriod is how often the duty looks whether this host leads.
-	rolloutPeriod = 250 * time.Millisecond
-	// rolloutRetryMost bounds the pause after calls that fail: a store that is away for
-	// seconds gets a few.
-	rolloutRetryMost = 2 * time.Second
-	// wishLeast is how often operators' wishes are read at most, and wishShare the part of a
-	// roll-out's time between two reads: a handful of calls for each roll-out.
-	wishLeast = 3 * time.Second
-	wishShare = 0.15
+	// rolloutPollPeriod is how often run checks whether this host leads.
+	rolloutPollPeriod = 250 * time.Millisecond
+	// maxRolloutRetry is the longest delay after failed calls, so that an outage of the store
+	// of a few seconds costs few calls.
+	maxRolloutRetry = 2 * time.Second
+	// minWishInterval is the shortest time between two reads of operators' wishes (to pause,
+	// resume or take back a rollout). wishIntervalShare is that time as a fraction of the
+	// rollout's duration, so that each rollout takes a handful of calls.
+	minWishInterval   = 3 * time.Second
+	wishIntervalShare = 0.15
 )
 
-// rollouts carries the operators' orders out while this host is the home: it takes them up
-// from the store, has the scheduler try them, and writes how they end. Its goroutine owns
-// carried, wished, retry and notBefore; mu guards read, orders and ended.
+// rollouts carries out the operators' rollout orders while this host is the home: it claims
+// them in the store, has the scheduler run the trials, and writes the outcomes. handled,
+// wishesRead, retry and notBefore belong to the goroutine of run; mu guards the fields below
+// it.
 type rollouts struct {
-	host   string // with its incarnation
-	plat   Platform
-	loop   *dispatch.Loop
-	leads  func() bool
-	events *event.Recorder
-	wake   chan struct{}
+	host     string // and its incarnation
+	platform Platform
+	loop     *dispatch.Loop
+	leads    func() bool
+	events   *event.Recorder
+	wake     chan struct{}
 
-	carried map[string]int64 // by service, the order that this host carries: its row
-	wished  time.Time
-	// retry is the pause after a failed call, which doubles; nothing is called notBefore.
+	handled    map[string]int64 // by service, the row version of the order that this host handles
+	wishesRead time.Time
+	// retry is the delay after a failed call, which doubles. No call is made before notBefore.
 	retry     time.Duration
 	notBefore time.Time
 
-	mu     sync.Mutex
-	read   map[string]int64 // rows of the operator's table, by key, with their versions
-	orders map[string]rollout.Order
-	ended  map[string]rollout.Standing // by service, to be written
+	mu          sync.Mutex
+	rowVersions map[string]int64 // by key, the newest version read of a row of the operator's table
+	orders      map[string]rollout.Order
+	outcomes    map[string]rollout.Standing // by service, how trials ended; not yet written
 }
 
-func newRollouts(host string, plat Platform, loop *dispatch.Loop, leads func() bool, events *event.Recorder) *rollouts {
+func newRollouts(host string, platform Platform, loop *dispatch.Loop, leads func() bool, events *event.Recorder) *rollouts {
 	return &rollouts{
-		host: host, plat: plat, loop: loop, leads: leads, events: events, wake: make(chan struct{}, 1),
-		carried: map[string]int64{}, read: map[string]int64{}, orders: map[string]rollout.Order{}, ended: map[string]rollout.Standing{},
+		host: host, platform: platform, loop: loop, leads: leads, events: events, wake: make(chan struct{}, 1),
+		handled: map[string]int64{}, rowVersions: map[string]int64{}, orders: map[string]rollout.Order{}, outcomes: map[string]rollout.Standing{},
 	}
 }
 
-// order takes a row of the operator's table if it is an order. One that makes no sense
-// leaves the order before it in force.
-func (r *rollouts) order(row store.Row) {
-	o, ok, err := r.plat.DecodeOrder(row.Key, row.Value, row.Version)
+// applyOrder takes over a row of the operator's table if it is an order. After an invalid
+// order, the previous one stays in force.
+func (r *rollouts) applyOrder(row store.Row) {
+	o, ok, err := r.platform.DecodeOrder(row.Key, row.Value, row.Version)
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.read[row.Key] >= row.Version {
+	if r.rowVersions[row.Key] >= row.Version {
 		return
 	}
-	r.read[row.Key] = row.Version
+	r.rowVersions[row.Key] = row.Version
 	if err != nil {
 		r.events.Record(event.RolloutRefused, event.Fields{Service: o.Service, Detail: failure.From(err).Message})
 		return
@@ -77,13 +79,13 @@
 	r.wakeUp()
 }
 
-// stepped takes the steps of the trials that the scheduler carries. It does not block.
-func (r *rollouts) stepped(steps []rollout.Standing) {
+// onSteps receives the progress of the scheduler's trials. It does not block.
+func (r *rollouts) onSteps(steps []rollout.Standing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, step := range steps {
 		if step.Phase == rollout.Moved || step.Phase == rollout.TakenBack {
-			r.ended[step.Order.Service] = step
+			r.outcomes[step.Order.Service] = step
 		}
 	}
 	r.wakeUp()
@@ -97,7 +99,7 @@
 }
 
 func (r *rollouts) run(ctx context.Context) {
-	tick := time.NewTicker(rolloutPeriod)
+	tick := time.NewTicker(rolloutPollPeriod)
 	defer tick.Stop()
 	for {
 		select {
@@ -107,68 +109,69 @@
 			return
 		}
 		if !r.leads() {
-			r.lost()
+			r.dropTrials()
 			continue
 		}
 		if time.Now().Before(r.notBefore) {
 			continue
 		}
-		r.takeUp(ctx)
-		r.writeEnds(ctx)
+		r.claimOrders(ctx)
+		r.writeOutcomes(ctx)
 		r.readWishes(ctx)
 	}
 }
 
-// called notes how a call to the store went, and reports whether it was answered.
-func (r *rollouts) called(err error) bool {
+// callSucceeded reports whether a call to the store succeeded, and sets the delay before the
+// next one.
+func (r *rollouts) callSucceeded(err error) bool {
 	if err == nil || failure.Is(err, failure.Conflict) {
 		r.retry = 0
 		return err == nil
 	}
-	r.retry = min(rolloutRetryMost, max(rolloutPeriod, 2*r.retry))
+	r.retry = min(maxRolloutRetry, max(rolloutPollPeriod, 2*r.retry))
 	r.notBefore = time.Now().Add(r.retry)
 	return false
 }
 
-// lost ends what this host carried: another one leads.
-func (r *rollouts) lost() {
-	if len(r.carried) == 0 {
+// dropTrials stops this host's trials: another host leads now.
+func (r *rollouts) dropTrials() {
+	if len(r.handled) == 0 {
 		return
 	}
-	clear(r.carried)
+	clear(r.handled)
 	r.mu.Lock()
-	clear(r.ended)
+	clear(r.outcomes)
 	r.mu.Unlock()
 	r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.DropTrials() })
 }
 
-// open lists the orders that this host does not carry yet.
-func (r *rollouts) open() (out []rollout.Order) {
+// unhandledOrders lists the valid orders that this host does not handle yet.
+func (r *rollouts) unhandledOrders() (out []rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, o := range r.orders {
-		if o.Check() == "" && r.carried[service] != o.Row {
+		if o.Check() == "" && r.handled[service] != o.Row {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-func (r *rollouts) takeUp(ctx context.Context) {
-	open := r.open()
-	if len(open) == 0 {
+func (r *rollouts) claimOrders(ctx context.Context) {
+	unhandledOrders := r.unhandledOrders()
+	if len(unhandledOrders) == 0 {
 		return
 	}
-	rows, storeNow, err := r.plat.Conditional.Rows(ctx, r.plat.RolloutTable)
-	if !r.called(err) {
+	rows, storeNow, err := r.platform.Conditional.Rows(ctx, r.platform.RolloutTable)
+	if !r.callSucceeded(err) {
 		return
 	}
-	for _, o := range open {
-		r.takeUpOne(ctx, o, find(rows, o.Service), storeNow)
+	for _, o := range unhandledOrders {
+		r.claimOrder(ctx, o, findRow(rows, o.Service), storeNow)
 	}
 }
 
-func find(rows []store.Row, key string) store.Row {
+func findRow(rows []store.Row, key string) store.Row {
 	for _, row := range rows {
 		if row.Key == key {
 			return row
@@ -177,105 +180,106 @@
 	return store.Row{}
 }
 
-// takeUpOne has this host carry an order, or learns that it was carried out.
+// claimOrder makes this host handle an order, unless the store shows that it has been carried
+// out.
 //
-// Guard: the host that carried it before may be alive, cut off, and write its verdict late.
-// The row is written anew here, so that its condition does not hold any more.
-func (r *rollouts) takeUpOne(ctx context.Context, o rollout.Order, have store.Row, storeNow time.Duration) {
+// The host that handled it before may be alive but cut off, and write its outcome late. This
+// host writes the row again, so that the version condition of such a write fails.
+func (r *rollouts) claimOrder(ctx context.Context, o rollout.Order, current store.Row, storeNow time.Duration) {
 	row, resumed := rollout.Row{Order: o.Row, To: o.To, Phase: rollout.Trying, BegunMs: storeNow.Milliseconds()}, false
-	if have.Version != 0 {
-		if old, err := rollout.DecodeRow(have.Value); err == nil && old.Order == o.Row {
-			if old.Over() {
-				r.carried[o.Service] = o.Row
-				r.settle(o, old.Phase)
+	if current.Version != 0 {
+		if previous, err := rollout.DecodeRow(current.Value); err == nil && previous.Order == o.Row {
+			if previous.Over() {
+				r.handled[o.Service] = o.Row
+				r.settleOrder(o, previous.Phase)
 				return
 			}
-			row.BegunMs, resumed = old.BegunMs, true
+			row.BegunMs, resumed = previous.BegunMs, true
 		}
 	}
 	row.By = r.host
-	if err := r.write(ctx, o, row, have.Version); err != nil {
-		return // read anew at the next look: it may have been done
+	if err := r.write(ctx, o, row, current.Version); err != nil {
+		return // read again at the next poll: the write may have been applied
 	}
-	r.carried[o.Service] = o.Row
-	ago := storeNow - row.Begun()
-	r.events.Record(event.RolloutOrdered, event.Fields{Service: o.Service, Detail: "to " + o.To + " within " + (o.Lasts - ago).String()})
-	r.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.StartTrial(now, o, ago, resumed) })
+	r.handled[o.Service] = o.Row
+	elapsed := storeNow - row.Begun()
+	r.events.Record(event.RolloutOrdered, event.Fields{Service: o.Service, Detail: "to " + o.To + " within " + (o.Lasts - elapsed).String()})
+	r.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.StartTrial(now, o, elapsed, resumed) })
 }
 
-func (r *rollouts) settle(o rollout.Order, p rollout.Phase) {
+func (r *rollouts) settleOrder(o rollout.Order, p rollout.Phase) {
 	r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.SettleOrder(o, p) })
 }
 
-// write brings the system's row and the operators' one up to date.
+// write updates the scheduler's own row and the status shown to operators in one commit.
 func (r *rollouts) write(ctx context.Context, o rollout.Order, row rollout.Row, version int64) error {
-	text, err := row.Encode()
+	encoded, err := row.Encode()
 	if err != nil {
 		return err
 	}
-	key, status, err := r.plat.RolloutStatus(o, row.State())
+	key, status, err := r.platform.RolloutStatus(o, row.State())
 	if err != nil {
 		return err
 	}
-	err = r.plat.Conditional.Commit(ctx, store.Condition{Table: r.plat.RolloutTable, Key: o.Service, Version: version},
-		store.Write{Table: r.plat.RolloutTable, Key: o.Service, Value: text},
-		store.Write{Table: r.plat.StatusTable, Key: key, Value: status})
-	if r.called(err) {
+	err = r.platform.Conditional.Commit(ctx, store.Condition{Table: r.platform.RolloutTable, Key: o.Service, Version: version},
+		store.Write{Table: r.platform.RolloutTable, Key: o.Service, Value: encoded},
+		store.Write{Table: r.platform.StatusTable, Key: key, Value: status})
+	if r.callSucceeded(err) {
 		r.events.Record(event.RolloutWritten, event.Fields{Service: o.Service, Detail: string(row.Phase) + " to " + o.To})
 	}
 	return err
 }
 
-// writeEnds writes how trials ended, until the store has it.
-func (r *rollouts) writeEnds(ctx context.Context) {
+// writeOutcomes writes how trials ended, and retries until the store has it.
+func (r *rollouts) writeOutcomes(ctx context.Context) {
 	r.mu.Lock()
-	due := make([]rollout.Standing, 0, len(r.ended))
-	for _, one := range r.ended {
-		due = append(due, one)
+	unwritten := make([]rollout.Standing, 0, len(r.outcomes))
+	for _, standing := range r.outcomes {
+		unwritten = append(unwritten, standing)
 	}
 	r.mu.Unlock()
-	if len(due) == 0 {
+	if len(unwritten) == 0 {
 		return
 	}
-	rows, _, err := r.plat.Conditional.Rows(ctx, r.plat.RolloutTable)
-	if !r.called(err) {
+	rows, _, err := r.platform.Conditional.Rows(ctx, r.platform.RolloutTable)
+	if !r.callSucceeded(err) {
 		return
 	}
-	for _, one := range due {
-		if r.writeEnd(ctx, one, find(rows, one.Order.Service)) {
-			r.forget(one)
+	for _, standing := range unwritten {
+		if r.writeOutcome(ctx, standing, findRow(rows, standing.Order.Service)) {
+			r.forgetOutcome(standing)
 		}
 	}
 }
 
-// writeEnd writes how one trial ended, and reports whether nothing is left to do: it is
-// written, or another host carries the order now.
-func (r *rollouts) writeEnd(ctx context.Context, one rollout.Standing, have store.Row) bool {
-	row, err := rollout.DecodeRow(have.Value)
-	if err != nil || row.Order != one.Order.Row || row.By != r.host || row.Over() {
+// writeOutcome writes how one trial ended. It reports whether nothing is left to do: the
+// outcome is written, or another host handles the order now.
+func (r *rollouts) writeOutcome(ctx context.Context, standing rollout.Standing, current store.Row) bool {
+	row, err := rollout.DecodeRow(current.Value)
+	if err != nil || row.Order != standing.Order.Row || row.By != r.host || row.Over() {
 		return true
 	}
-	row.Phase, row.Why = one.Phase, one.Why
-	return r.write(ctx, one.Order, row, have.Version) == nil
+	row.Phase, row.Why = standing.Phase, standing.Why
+	return r.write(ctx, standing.Order, row, current.Version) == nil
 }
 
-func (r *rollouts) forget(one rollout.Standing) {
+func (r *rollouts) forgetOutcome(standing rollout.Standing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if have, ok := r.ended[one.Order.Service]; ok && have.Order.Row == one.Order.Row {
-		delete(r.ended, one.Order.Service)
+	if current, ok := r.outcomes[standing.Order.Service]; ok && current.Order.Row == standing.Order.Row {
+		delete(r.outcomes, standing.Order.Service)
 	}
 }
 
-// readWishes passes operators' wishes on while trials run.
+// readWishes passes operators' wishes to the scheduler while trials run.
 func (r *rollouts) readWishes(ctx context.Context) {
-	shortest := r.shortest()
-	if shortest == 0 || time.Since(r.wished) < max(wishLeast, time.Duration(wishShare*float64(shortest))) {
+	shortestTrial := r.shortestTrial()
+	if shortestTrial == 0 || time.Since(r.wishesRead) < max(minWishInterval, time.Duration(wishIntervalShare*float64(shortestTrial))) {
 		return
 	}
-	r.wished = time.Now()
-	rows, _, err := r.plat.Conditional.Rows(ctx, r.plat.RolloutTable)
-	if !r.called(err) {
+	r.wishesRead = time.Now()
+	rows, _, err := r.platform.Conditional.Rows(ctx, r.platform.RolloutTable)
+	if !r.callSucceeded(err) {
 		return
 	}
 	for _, row := range rows {
@@ -286,23 +290,23 @@
 	}
 }
 
-// shortest is the least time that a trial which runs here was given, 0 when none does.
-func (r *rollouts) shortest() (d time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), rolloutPeriod)
+// shortestTrial is the shortest duration of the trials that run here, 0 if there is none.
+func (r *rollouts) shortestTrial() (d time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), rolloutPollPeriod)
 	defer cancel()
-	if len(r.carried) == 0 {
+	if len(r.handled) == 0 {
 		return 0
 	}
 	r.loop.Query(ctx, func(s *sched.Scheduler) {
-		for _, one := range s.Rollouts() {
-			if running(one.Phase) && (d == 0 || one.Order.Lasts < d) {
-				d = one.Order.Lasts
+		for _, standing := range s.Rollouts() {
+			if isRunning(standing.Phase) && (d == 0 || standing.Order.Lasts < d) {
+				d = standing.Order.Lasts
 			}
 		}
 	})
 	return d
 }
 
-func running(p rollout.Phase) bool {
+func isRunning(p rollout.Phase) bool {
 	return p == rollout.Trying || p == rollout.Paused || p == rollout.Moving
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -21,30 +21,30 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// open starts the HTTP servers.
-func (n *Node) open() error {
-	n.front = &http.Server{
-		Handler: n.entry, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+// startHTTP starts the HTTP servers.
+func (n *Node) startHTTP() error {
+	n.callerServer = &http.Server{
+		Handler: n.entry, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: entry.WithConn,
 	}
-	small := func(h http.Handler) *http.Server {
+	plainServer := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	}
 	metricsMux := http.NewServeMux()
 	metricsMux.HandleFunc("GET /metrics", n.writeMetrics)
 	for address, srv := range map[string]*http.Server{
-		n.set.EntryAddress:  n.front,
-		n.set.ReadyAddress:  small(n.plat.ReadyHandler(n.ready)),
-		n.set.LookupAddress: small(n.plat.LookupHandler(n.addresses)),
-		net.JoinHostPort(n.set.IP, strconv.Itoa(n.set.MetricsPort)): small(metricsMux),
+		n.settings.EntryAddress:  n.callerServer,
+		n.settings.ReadyAddress:  plainServer(n.platform.ReadyHandler(n.ready)),
+		n.settings.LookupAddress: plainServer(n.platform.LookupHandler(n.addresses)),
+		net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort)): plainServer(metricsMux),
 	} {
-		l, err := net.Listen("tcp", address)
+		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			return failure.Wrap(failure.BadSetting, err, "listen at %s", address)
 		}
-		n.serve = append(n.serve, srv)
-		n.duties.Go(func() {
-			if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		n.httpServers = append(n.httpServers, srv)
+		n.tasks.Go(func() {
+			if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 				n.events.Record(event.DutyFailed, event.Fields{Detail: "serve " + address + ": " + err.Error()})
 			}
 		})
@@ -52,36 +52,37 @@
 	return nil
 }
 
-// Run serves until ctx ends, then shuts down gracefully. It returns when the
-// last request has its final answer, or the grace time is used up.
+// Run serves until ctx ends, then shuts down gracefully. It returns when the last request is
+// answered or the grace time has run out.
 func (n *Node) Run(ctx context.Context) error {
 	run, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.duties.Go(func() { n.gossip.Run(run) })
-	n.duties.Go(func() { n.peers.Serve(n.control) })
-	n.duties.Go(func() { n.loop.Run(run) })
-	n.duties.Go(func() { n.follower.Run(run) })
-	n.duties.Go(func() { n.home.TeachNext(run) })
-	n.duties.Go(func() { n.join(run) })
-	n.duties.Go(func() { n.kept.run(run) })
-	n.duties.Go(func() { n.rollouts.run(run) })
-	n.duties.Go(func() { n.releaseReaders(run) })
-	n.watch(run, n.plat.OperatorTable, n.applyConfig)
-	n.watch(run, n.plat.ServerTable, n.servers.take)
-	n.duties.Go(func() { n.tick(run) })
-	if err := n.open(); err != nil {
+	n.tasks.Go(func() { n.gossip.Run(run) })
+	n.tasks.Go(func() { n.peers.Serve(n.control) })
+	n.tasks.Go(func() { n.loop.Run(run) })
+	n.tasks.Go(func() { n.follower.Run(run) })
+	n.tasks.Go(func() { n.home.TeachNext(run) })
+	n.tasks.Go(func() { n.join(run) })
+	n.tasks.Go(func() { n.quarantined.run(run) })
+	n.tasks.Go(func() { n.rollouts.run(run) })
+	n.tasks.Go(func() { n.releaseReaders(run) })
+	n.watch(run, n.platform.OperatorTable, n.applyConfig)
+	n.watch(run, n.platform.ServerTable, n.servers.update)
+	n.tasks.Go(func() { n.tick(run) })
+	if err := n.startHTTP(); err != nil {
 		return err
 	}
-	n.events.Record(event.ProcessStarted, event.Fields{Detail: "incarnation " + n.inc.String() + " callers " + n.set.EntryAddress})
+	n.events.Record(event.ProcessStarted, event.Fields{Detail: "incarnation " + n.incarnation.String() + " callers " + n.settings.EntryAddress})
 	<-ctx.Done()
 	n.shutDown()
 	return nil
 }
 
-// watch follows a table, through those that read the store for all or as one of them.
+// watch follows a table. Whether this host reads the store itself or follows one of the readers
+// depends on its rank.
 func (n *Node) watch(ctx context.Context, table string, apply func(store.Update)) {
-	w := newWatcher(n.plat.Tables, tableReaders{n}, n.relays, table, n.events, apply)
-	n.duties.Go(func() {
+	w := newWatcher(n.platform.Tables, tableReaders{n}, n.relays, table, n.events, apply)
+	n.tasks.Go(func() {
 		select {
 		case <-n.joined:
 			w.Run(ctx)
@@ -90,8 +91,8 @@
 	})
 }
 
-// newWatcher makes the watcher of a table that is read through the hosts that read the store
-// for all, and told on by the relay of this host.
+// newWatcher returns a watcher for a table. It reads through the hosts that read the store for
+// all, and passes updates on through this host's relay.
 func newWatcher(direct store.Tables, readers store.Readers, relays *store.Relays, table string, events *event.Recorder, apply func(store.Update)) *store.Watcher {
 	relay := relays.Table(table)
 	tables := store.NewRelayed(direct, readers, relay.Failed)
@@ -110,7 +111,7 @@
 	}
 }
 
-// tableReaders are the hosts that read the store, as the tables' readers see them.
+// tableReaders implements store.Readers with the hosts that read the store for all.
 type tableReaders struct{ n *Node }
 
 // Order implements store.Readers.
@@ -118,7 +119,7 @@
 	list, readers := dispatch.StoreOrder(t.n.members)
 	o := store.Order{Readers: readers, Self: -1}
 	for i, m := range list {
-		if m.Incarnation == t.n.inc {
+		if m.Incarnation == t.n.incarnation {
 			o.Self = i
 		}
 		o.Names = append(o.Names, m.Incarnation.String())
@@ -133,24 +134,24 @@
 		if m.Incarnation.String() != name {
 			continue
 		}
-		// A dial to a host that stands still takes all of its time.
+		// A dial to a host that hangs would block until its timeout.
 		if m.State == member.Suspect {
-			return nil, failure.New(failure.PeerSilent, "%s leaves probes unanswered", m.Host)
+			return nil, failure.New(failure.PeerSilent, "host %s does not answer probes", m.Host)
 		}
 		to := peer.Target{Address: m.ControlAddress, Incarnation: m.Incarnation}
 		return t.n.peers.OpenStream(ctx, to, wire.StreamKind_STREAM_TABLES, "")
 	}
-	return nil, failure.New(failure.PeerSilent, "%s reads the store no more", name)
+	return nil, failure.New(failure.PeerSilent, "host %s no longer reads the store", name)
 }
 
 // Hosts implements store.Readers.
-func (t tableReaders) Hosts() int { return max(t.n.members.Live(), t.n.listedHosts()) }
+func (t tableReaders) Hosts() int { return max(t.n.members.Live(), t.n.knownFleetSize()) }
 
-// role tells what this host does for others that follow the tables.
+// role is this host's role in reading the tables for others.
 func (n *Node) role() store.Role { return tableReaders{n}.Order().Role() }
 
-// releaseReaders lets those who wait for news here look anew at whom to ask, each time
-// that another host has become the home.
+// releaseReaders makes hosts that wait for updates from this one choose their reader again
+// whenever another host becomes the home.
 func (n *Node) releaseReaders(ctx context.Context) {
 	changed := n.members.Subscribe()
 	var home member.Member
@@ -170,7 +171,7 @@
 
 func (n *Node) isHome() bool {
 	home, ok := dispatch.HomeOf(n.members)
-	return ok && home.Incarnation == n.inc
+	return ok && home.Incarnation == n.incarnation
 }
 
 func (n *Node) tick(ctx context.Context) {
@@ -186,28 +187,27 @@
 	}
 }
 
-// shutDown leaves without cutting a request off. The order keeps callers
-// served: look-ups and readiness checks stop naming this host at once and the
-// home moves; callers that still have the address are served for leaveWait,
-// each answer closing its connection; then new requests are refused, and the
-// process ends with the last request in progress.
+// shutDown stops the host without cutting off requests. Look-ups and readiness checks stop
+// naming this host at once, and the home moves. Callers that still have the address are served
+// for shutdownDelay, and each answer closes its connection. Then new requests are refused, and
+// shutDown waits for requests in progress, but no longer than the grace time less exitMargin.
 func (n *Node) shutDown() {
-	begun := time.Now()
+	start := time.Now()
 	n.events.Record(event.ProcessDraining, event.Fields{})
 	n.leaving.Store(true)
 	n.members.SetLeaving()
 	n.entry.Leave()
-	time.Sleep(leaveWait)
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(n.set.Grace-exitMargin))
+	time.Sleep(shutdownDelay)
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(n.settings.Grace-exitMargin))
 	defer cancel()
-	if err := n.front.Shutdown(ctx); err != nil {
+	if err := n.callerServer.Shutdown(ctx); err != nil {
 		n.events.Record(event.DutyFailed, event.Fields{Detail: "requests in progress at the end of the grace time: " + strconv.Itoa(n.entry.Active())})
 	}
 	n.events.Record(event.ProcessStopped, event.Fields{})
 }
 
-// writeMetrics writes counters, gauges and histograms as lines of text, with
-// what this host believes now.
+// writeMetrics writes counters, gauges and histograms as lines of text, after setting the
+// gauges to the current state of this host.
 func (n *Node) writeMetrics(w http.ResponseWriter, r *http.Request) {
 	gauge := func(name string, v int64) { metrics.GetOrRegisterGauge(name, n.metrics).Update(v) }
 	waiting, running := n.client.Pending()
@@ -220,10 +220,10 @@
 	gauge("servers_ready", int64(ready))
 	gauge("servers_draining", int64(draining))
 	gauge("servers_missing", int64(missing))
-	said := n.client.CountNotices()
-	gauge("servers_limited", int64(said.Limited))
-	gauge("servers_leaving_by_answer", int64(said.Leaving))
-	gauge("servers_resting", int64(said.Resting))
+	notices := n.client.CountNotices()
+	gauge("servers_limited", int64(notices.Limited))
+	gauge("servers_leaving_by_answer", int64(notices.Leaving))
+	gauge("servers_resting", int64(notices.Resting))
 	gauge("servers_list_age_ms", n.servers.Age().Milliseconds())
 	live := 0
 	for _, m := range n.members.All() {
@@ -241,25 +241,24 @@
 		gauge("scheduler_waiting", int64(s.Waiting()))
 		gauge("scheduler_running", int64(s.Running()))
 		gauge("requests_in_quarantine", int64(s.Quarantined()))
-		for _, one := range s.Rollouts() {
-			of := "rollout." + one.Order.Service + "." + one.Order.To
-			gauge(of+".requests_to_service", int64(one.Reached))
-			gauge(of+".requests_tried", int64(one.Tried))
-			gauge(of+".answers", int64(one.Answers))
-			gauge(of+".answers_bad", int64(one.Bad))
+		for _, standing := range s.Rollouts() {
+			prefix := "rollout." + standing.Order.Service + "." + standing.Order.To
+			gauge(prefix+".requests_to_service", int64(standing.Reached))
+			gauge(prefix+".requests_tried", int64(standing.Tried))
+			gauge(prefix+".answers", int64(standing.Answers))
+			gauge(prefix+".answers_bad", int64(standing.Bad))
 		}
 	})
 	metrics.WriteOnce(n.metrics, w)
 }
 
-// Reload is called after SIGHUP with the settings as they stand now. What can
-// change while the process runs is the memory limit; addresses stay, since
-// callers are connected to them.
-func (n *Node) Reload(set Settings, err error) {
+// Reload applies settings that were read again after SIGHUP. Only the memory limit can change
+// while the process runs; addresses stay, since callers are connected to them.
+func (n *Node) Reload(settings Settings, err error) {
 	if err != nil {
 		n.events.Record(event.ConfigRefused, event.Fields{Detail: "settings: " + err.Error()})
 		return
 	}
-	limitMemory(set.MemoryBytes)
+	limitMemory(settings.MemoryBytes)
 	n.events.Record(event.SettingsRead, event.Fields{})
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -12,60 +12,58 @@
 )
 
 const (
-	// storeGap is the silence of the store after which entries may have lapsed
-	// although their servers live; a call that waits for changes and one that
-	// is tried again stay below it.
-	storeGap = 2500 * time.Millisecond
-	// lapseGrace is how long after the store's return a missing entry may
-	// still come back: servers write about every 1.2 s.
+	// minStoreOutage is the shortest silence of the store after which entries of live servers
+	// may have expired. A call that waits for changes, or one that is retried, takes less.
+	minStoreOutage = 2500 * time.Millisecond
+	// lapseGrace is how long after the end of an outage of the store a server without an entry
+	// stays in use. Live servers write their entries about every 1.2 s.
 	lapseGrace = 2200 * time.Millisecond
-	// sweepPeriod is how often missing servers are looked at.
+	// sweepPeriod is how often servers without an entry are checked.
 	sweepPeriod = 500 * time.Millisecond
-	// goneMemory is how long an incarnation that left is remembered: longer than a
-	// home can go on without the store.
-	goneMemory = 5 * time.Minute
+	// goneRetention is how long an incarnation that left is remembered. It exceeds the time
+	// that a home can go on without the store.
+	goneRetention = 5 * time.Minute
 )
 
-// servers is the list of backend servers as the store tells it. Rows are kept by
-// their key, the name of a server; what left is kept by incarnation, since a server
-// may start again under its name.
-// mu guards all fields.
+// servers is the list of backend servers according to the store. Entries are keyed by the
+// server's name; servers that left are keyed by incarnation, since a server may start again
+// under its name. mu guards the fields below it.
 type servers struct {
 	decode func(name string, value []byte) (sched.Server, error)
 	events *event.Recorder
 	apply  func([]sched.Server)
 
-	mu       sync.Mutex
-	known    map[string]sched.Server // by name
-	missing  map[string]time.Time    // by name, since when; lapsed during an outage
-	unusable map[string]string       // by name, why its entry names no server
-	gone     map[string]time.Time    // by incarnation, since when
-	returned time.Time               // when the store came back last
-	heard    time.Time               // when the store or a reader of it told of servers last
+	mu         sync.Mutex
+	known      map[string]sched.Server // by name
+	missing    map[string]time.Time    // by name, since when; the entry expired during an outage of the store
+	invalid    map[string]string       // by name, why its entry was rejected
+	gone       map[string]time.Time    // by incarnation, since when
+	outageEnd  time.Time               // end of the store's last outage
+	lastUpdate time.Time               // when the store or one of its readers last reported on servers
 }
 
 func newServers(decode func(string, []byte) (sched.Server, error), events *event.Recorder, apply func([]sched.Server)) *servers {
 	return &servers{
 		decode: decode, events: events, apply: apply,
 		known: map[string]sched.Server{}, missing: map[string]time.Time{},
-		unusable: map[string]string{}, gone: map[string]time.Time{},
+		invalid: map[string]string{}, gone: map[string]time.Time{},
 	}
 }
 
-// take applies rows of the server table: all of them, or what has changed.
-func (s *servers) take(u store.Update) {
+// update applies rows of the server table: the whole table or its changes.
+func (s *servers) update(u store.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.heard = now
-	if u.Gap > storeGap {
-		s.returned = now
+	s.lastUpdate = now
+	if u.Gap > minStoreOutage {
+		s.outageEnd = now
 	}
 	if len(u.Rows) == 0 && !u.Whole {
 		return
 	}
 	before := maps.Clone(s.known)
-	listed := s.read(u.Rows)
+	listed := s.decodeRows(u.Rows)
 	for name, row := range listed {
 		if row.deleted {
 			s.remove(name, now, u)
@@ -82,34 +80,34 @@
 	}
 }
 
-// serverRow is a row as it was read.
+// serverRow is a decoded row.
 type serverRow struct {
 	server  sched.Server
-	err     error // it names no server to use
+	err     error // the entry is invalid
 	deleted bool
 }
 
-// read decodes rows; of several for one name the last counts.
+// decodeRows decodes rows; the last row for a name counts.
 //
-// Guard: an entry that does not tell its server's start, among others that do, was
-// written by somebody else: callers would be sent wherever it points to.
-func (s *servers) read(rows []store.Row) map[string]serverRow {
+// When other servers' entries have a start time, an entry without one is rejected: another
+// program wrote it, and requests would be sent to whatever address it gives.
+func (s *servers) decodeRows(rows []store.Row) map[string]serverRow {
 	entries := make(map[string]serverRow, len(rows))
-	dated := false
+	anyStartTime := false
 	for _, row := range rows {
 		e := serverRow{deleted: row.Deleted}
 		if !row.Deleted {
 			e.server, e.err = s.decode(row.Key, row.Value)
 		}
-		dated = dated || e.server.Born != 0
+		anyStartTime = anyStartTime || e.server.Born != 0
 		entries[row.Key] = e
 	}
 	for _, srv := range s.known {
-		dated = dated || srv.Born != 0
+		anyStartTime = anyStartTime || srv.Born != 0
 	}
 	for name, e := range entries {
-		if dated && !e.deleted && e.err == nil && e.server.Born == 0 {
-			e.err = failure.New(failure.BadConfig, "the entry of server %s does not tell its start, as others do", name)
+		if anyStartTime && !e.deleted && e.err == nil && e.server.Born == 0 {
+			e.err = failure.New(failure.BadConfig, "entry of server %s has no start time, unlike other entries", name)
 			entries[name] = e
 		}
 	}
@@ -118,42 +116,42 @@
 
 func (s *servers) add(name string, e serverRow) {
 	if e.err != nil {
-		s.refuse(name, e.err)
+		s.reject(name, e.err)
 		return
 	}
-	delete(s.unusable, name)
+	delete(s.invalid, name)
 	delete(s.missing, name)
 	srv := e.server
-	have, ok := s.known[name]
-	if ok && have.ID != srv.ID {
+	current, ok := s.known[name]
+	if ok && current.ID != srv.ID {
 		s.drop(name)
 		ok = false
 	}
 	delete(s.gone, srv.ID)
 	if ok {
-		srv.ColdFor = have.ColdFor // counted from when the server was first seen
+		srv.ColdFor = current.ColdFor // the cold start counts from when the server was first seen
 	}
-	if !ok || have.Draining != srv.Draining {
-		s.events.Record(event.ServersChanged, event.Fields{Server: srv.ID, Service: srv.Service, Detail: state(srv)})
+	if !ok || current.Draining != srv.Draining {
+		s.events.Record(event.ServersChanged, event.Fields{Server: srv.ID, Service: srv.Service, Detail: describeState(srv)})
 	}
 	s.known[name] = srv
 }
 
-// refuse takes an entry that names no server to use out of the list. It is logged
-// once, not each time that the table is read anew.
-func (s *servers) refuse(name string, err error) {
+// reject removes a server whose entry is invalid. The event is recorded once for each error,
+// not each time the table is read.
+func (s *servers) reject(name string, err error) {
 	if _, ok := s.known[name]; ok {
 		s.drop(name)
 	}
 	why := failure.From(err).Message
-	if s.unusable[name] == why {
+	if s.invalid[name] == why {
 		return
 	}
-	s.unusable[name] = why
+	s.invalid[name] = why
 	s.events.Record(event.ConfigRefused, event.Fields{Server: name, Detail: why})
 }
 
-func state(srv sched.Server) string {
+func describeState(srv sched.Server) string {
 	if srv.Draining {
 		return "draining at " + srv.Address + " version " + srv.Version
 	}
@@ -166,29 +164,29 @@
 			s.remove(name, now, u)
 		}
 	}
-	maps.DeleteFunc(s.unusable, func(name, _ string) bool {
+	maps.DeleteFunc(s.invalid, func(name, _ string) bool {
 		_, ok := listed[name]
 		return !ok
 	})
 }
 
-// remove drops a server, or marks it missing for a while.
+// remove drops a server, or marks it missing if the store was down until recently.
 //
-// Guard: while the store was away, heartbeats could not renew the entries of
-// servers that live. Dropping all of them at its return would stop all work;
-// they come back within seconds, and one that does not is gone.
+// During an outage of the store, heartbeats cannot renew the entries of live servers. Dropping
+// all servers when the store returns would stop all work. Live servers write their entries
+// again within seconds; the others are dropped after lapseGrace.
 func (s *servers) remove(name string, now time.Time, u store.Update) {
-	delete(s.unusable, name)
+	delete(s.invalid, name)
 	srv, ok := s.known[name]
 	if !ok {
 		return
 	}
-	if since := now.Sub(s.returned); since < lapseGrace {
+	if since := now.Sub(s.outageEnd); since < lapseGrace {
 		if _, ok := s.missing[name]; !ok {
 			s.missing[name] = now
 			s.events.Record(event.ServerMissing, event.Fields{
 				Server: srv.ID, Service: srv.Service, Peer: u.Reader,
-				Detail: "used for " + (lapseGrace - since).Round(time.Millisecond).String() + " more; gap=" + u.Gap.Round(time.Millisecond).String(),
+				Detail: "still used for " + (lapseGrace - since).Round(time.Millisecond).String() + "; gap=" + u.Gap.Round(time.Millisecond).String(),
 			})
 		}
 		return
@@ -204,9 +202,9 @@
 	s.gone[srv.ID] = time.Now()
 }
 
-// sweep drops the missing ones whose time is over.
+// sweep drops the missing servers once lapseGrace is over.
 func (s *servers) sweep(now time.Time) {
-	if len(s.missing) == 0 || now.Sub(s.returned) < lapseGrace {
+	if len(s.missing) == 0 || now.Sub(s.outageEnd) < lapseGrace {
 		return
 	}
 	for name := range s.missing {
@@ -214,20 +212,20 @@
 	}
 }
 
-// tick is called now and then, so that missing servers are dropped although
-// the store tells nothing new.
+// tick runs every sweepPeriod, so that missing servers are dropped even if the store reports no
+// change.
 func (s *servers) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, now := len(s.known), time.Now()
+	before, now := len(s.known), time.Now()
 	s.sweep(now)
-	maps.DeleteFunc(s.gone, func(_ string, since time.Time) bool { return now.Sub(since) > goneMemory })
-	if len(s.known) != n {
+	maps.DeleteFunc(s.gone, func(_ string, since time.Time) bool { return now.Sub(since) > goneRetention })
+	if len(s.known) != before {
 		s.publish()
 	}
 }
 
-// publish hands the list on. The caller holds mu.
+// publish passes the list to apply. The caller holds mu.
 func (s *servers) publish() {
 	list := make([]sched.Server, 0, len(s.known))
 	for _, srv := range s.known {
@@ -236,8 +234,8 @@
 	s.apply(list)
 }
 
-// count returns how many servers are ready, how many drain, and how many of them have no
-// entry any more.
+// count returns the number of ready servers, of draining servers, and of those among them that
+// have no entry any more.
 func (s *servers) count() (ready, draining, missing int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,11 +253,11 @@
 func (s *servers) Age() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.heard)
+	return time.Since(s.lastUpdate)
 }
 
-// incarnation finds a listed server. The caller holds mu.
-func (s *servers) incarnation(id string) (sched.Server, bool) {
+// byID finds a listed server by its incarnation. The caller holds mu.
+func (s *servers) byID(id string) (sched.Server, bool) {
 	for _, srv := range s.known {
 		if srv.ID == id {
 			return srv, true
@@ -268,30 +266,30 @@
 	return sched.Server{}, false
 }
 
-// has reports whether an incarnation is listed, at this address.
-func (s *servers) has(id, address string) bool {
+// hasAddress reports whether an incarnation is listed at this address.
+func (s *servers) hasAddress(id, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	srv, ok := s.incarnation(id)
+	srv, ok := s.byID(id)
 	return ok && srv.Address == address
 }
 
-// lists reports whether an incarnation is listed.
-func (s *servers) lists(id string) bool {
+// contains reports whether an incarnation is listed.
+func (s *servers) contains(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.incarnation(id)
+	_, ok := s.byID(id)
 	return ok
 }
 
-// Leaving implements dispatch.ServerList: an incarnation is known to leave or to be gone.
-// One that is not known here may be new.
+// Leaving implements dispatch.ServerList. It reports whether an incarnation is draining or
+// gone. An unknown one may be new, so it does not count as leaving.
 func (s *servers) Leaving(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, gone := s.gone[id]; gone {
 		return true
 	}
-	srv, _ := s.incarnation(id)
+	srv, _ := s.byID(id)
 	return srv.Draining
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,6 @@
-// Package node puts the duties of one entry host on the prepared platform
-// together: entry, scheduler, membership, and what follows the store.
+// Package node assembles one entry host on the prepared platform: the entry for callers, the
+// scheduler, membership, and the watchers of the store's tables. The home is the host that runs
+// the scheduler for all.
 package node
 
 import (
@@ -9,26 +10,25 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Settings are what the platform tells a process about itself, and the operators'
-// policy.
+// Settings are the platform's settings for this process and the operators' policy.
 type Settings struct {
 	Host             string
 	AvailabilityZone string
 	IP               string
 	EntryAddress     string   // callers
 	ReadyAddress     string   // the platform's readiness checks
-	LookupAddress    string   // callers that ask for addresses
+	LookupAddress    string   // look-ups of entry addresses
 	PeerPort         int      // TCP and UDP between hosts
-	Seeds            []string // IP:PeerPort of hosts to join through; they may be gone
+	Seeds            []string // IP:PeerPort of hosts to join through; they may no longer exist
 	MetricsPort      int
 	Store            string // IP:PORT of the platform's store
 	ProcessorShare   float64
 	MemoryBytes      int64
 	Grace            time.Duration // from SIGTERM to SIGKILL
-	// EntryLapse is how long the store lists a server after its end at most, 0 when it is
-	// not known.
+	// EntryLapse is the longest time that the store lists a server after it has ended; 0 means
+	// unknown.
 	EntryLapse time.Duration
-	// Rollouts bounds what a version on trial may get.
+	// Rollouts bounds the share of requests that a version on trial may get.
 	Rollouts rollout.Bounds
 	Policy   sched.Policy
 }
