--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,5 @@
-// Package explain finds in the logs of all hosts what led to the end of one
-// request: its own lines, and what its host and servers went through around
-// it.
+// Package explain finds in the logs of all hosts what led to the end of one request: its own
+// lines, and events of its host and servers around that time.
 package explain
 
 import (
@@ -28,161 +27,159 @@
 	Text    string
 }
 
-// around is how far from a request's first and last line other events of its
-// host and servers are told: longer than membership and the store's watchers
-// need to notice a failure.
-const around = 3 * time.Second
+// contextWindow is how far before a request's first line and after its last one other events of
+// its host and servers are included. Membership and the store's watchers notice a failure in
+// less time.
+const contextWindow = 3 * time.Second
 
-// Read parses the lines of a log. Lines that are not of ours are left out;
-// a line may have other text before its level field.
+// Read parses the lines of a log. It skips lines that gentianflow did not write; a line may
+// have other text before its level field.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
-	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, 1<<20)
-	for scan.Scan() {
-		text := scan.Text()
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		text := scanner.Text()
 		if i := strings.Index(text, "level="); i >= 0 {
-			if l, ok := parse(text[i:]); ok {
-				lines = append(lines, l)
+			if line, ok := parseLine(text[i:]); ok {
+				lines = append(lines, line)
 			}
 		}
 	}
-	return lines, failure.Wrap(failure.BadRequest, scan.Err(), "read the log")
+	return lines, failure.Wrap(failure.BadRequest, scanner.Err(), "read the log")
 }
 
-func parse(text string) (Line, bool) {
-	l := Line{Text: text}
-	dec := logfmt.NewDecoder(strings.NewReader(text))
-	if !dec.ScanRecord() {
-		return l, false
+func parseLine(text string) (Line, bool) {
+	line := Line{Text: text}
+	decoder := logfmt.NewDecoder(strings.NewReader(text))
+	if !decoder.ScanRecord() {
+		return line, false
 	}
-	for dec.ScanKeyval() {
-		value := string(dec.Value())
-		switch string(dec.Key()) {
+	for decoder.ScanKeyval() {
+		value := string(decoder.Value())
+		switch string(decoder.Key()) {
 		case "ts":
 			at, err := time.Parse(time.RFC3339Nano, value)
 			if err != nil {
-				return l, false
+				return line, false
 			}
-			l.At = at
+			line.At = at
 		case "host":
-			l.Host = value
+			line.Host = value
 		case "name":
-			l.Name = value
+			line.Name = value
 		case "request":
-			l.Request = value
+			line.Request = value
 		case "service":
-			l.Service = value
+			line.Service = value
 		case "server":
-			l.Server = value
+			line.Server = value
 		case "peer":
-			l.Peer = value
+			line.Peer = value
 		case "detail":
-			l.Detail = value
+			line.Detail = value
 		}
 	}
-	return l, dec.Err() == nil && l.Name != "" && !l.At.IsZero()
+	return line, decoder.Err() == nil && line.Name != "" && !line.At.IsZero()
 }
 
-// Story is what the logs tell of one request, in order of time.
+// Story holds the log lines about one request, in order of time.
 type Story struct {
-	Request []Line // of the request itself
-	Host    []Line // of its host and servers meanwhile
-	Ends    []Line // of servers that ended under the same request, whatever its id then
+	Request []Line // of the request
+	Host    []Line // of its host and servers around that time
+	Ends    []Line // of servers that ended under the same request, whatever its id was
 }
 
-// Find collects the story of a request. It fails with UnknownRequest when no
-// line names it.
+// Find collects the lines about a request. It fails with UnknownRequest when no line names it.
 func Find(lines []Line, request string) (Story, error) {
-	var s Story
+	var story Story
 	hosts, servers := map[string]bool{}, map[string]bool{}
-	for _, l := range lines {
-		if l.Request == request {
-			s.Request = append(s.Request, l)
-			hosts[l.Host] = true
-			if l.Server != "" {
-				servers[l.Server] = true
+	for _, line := range lines {
+		if line.Request == request {
+			story.Request = append(story.Request, line)
+			hosts[line.Host] = true
+			if line.Server != "" {
+				servers[line.Server] = true
 			}
 		}
 	}
-	if len(s.Request) == 0 {
-		return s, failure.New(failure.UnknownRequest, "no line names request %s; lines are kept as long as the collector keeps them, and lines_dropped tells of those left out", request)
+	if len(story.Request) == 0 {
+		return story, failure.New(failure.UnknownRequest, "no line names request %s; the log collector may have deleted its lines, or the host left them out (see lines_dropped)", request)
 	}
-	inOrder(s.Request)
-	from, to := s.Request[0].At.Add(-around), s.Request[len(s.Request)-1].At.Add(around)
-	for _, l := range lines {
-		near := l.At.After(from) && l.At.Before(to)
-		about := hosts[l.Host] && (l.Server == "" || servers[l.Server])
-		if l.Request == "" && near && about {
-			s.Host = append(s.Host, l)
+	sortByTime(story.Request)
+	from, to := story.Request[0].At.Add(-contextWindow), story.Request[len(story.Request)-1].At.Add(contextWindow)
+	for _, line := range lines {
+		near := line.At.After(from) && line.At.Before(to)
+		related := hosts[line.Host] && (line.Server == "" || servers[line.Server])
+		if line.Request == "" && near && related {
+			story.Host = append(story.Host, line)
 		}
 	}
-	inOrder(s.Host)
-	s.Ends = endsUnder(lines, word(s.Request[len(s.Request)-1].Detail, "fingerprint"))
-	return s, nil
+	sortByTime(story.Host)
+	story.Ends = endsWithFingerprint(lines, textField(story.Request[len(story.Request)-1].Detail, "fingerprint"))
+	return story, nil
 }
 
-// The events that tell of requests under which servers ended.
+// Names of the events about requests under which servers ended.
 const (
 	serverEnded        = "server_ended"
 	requestQuarantined = "request_quarantined"
 )
 
-// endsUnder lists the ends of servers under the request with a fingerprint, and what came
-// of them, in order of time.
-func endsUnder(lines []Line, fingerprint string) []Line {
+// endsWithFingerprint lists the ends of servers under the request with a fingerprint, and its
+// quarantine, in order of time.
+func endsWithFingerprint(lines []Line, fingerprint string) []Line {
 	if fingerprint == "" {
 		return nil
 	}
 	var out []Line
-	for _, l := range lines {
-		about := l.Name == serverEnded || l.Name == requestQuarantined
-		if about && word(l.Detail, "fingerprint") == fingerprint {
-			out = append(out, l)
+	for _, line := range lines {
+		relevant := line.Name == serverEnded || line.Name == requestQuarantined
+		if relevant && textField(line.Detail, "fingerprint") == fingerprint {
+			out = append(out, line)
 		}
 	}
-	inOrder(out)
+	sortByTime(out)
 	return out
 }
 
-// ServerEnd lists what was lost when a server ended: one line for each request that had a
-// run there, with its fingerprint.
+// ServerEnd lists what a server ran when it ended: one line, with the fingerprint, for each
+// request.
 func ServerEnd(lines []Line, server string) []Line {
 	var out []Line
-	for _, l := range lines {
-		if l.Name == serverEnded && l.Server == server {
-			out = append(out, l)
+	for _, line := range lines {
+		if line.Name == serverEnded && line.Server == server {
+			out = append(out, line)
 		}
 	}
-	inOrder(out)
+	sortByTime(out)
 	return out
 }
 
-func inOrder(lines []Line) {
+func sortByTime(lines []Line) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 }
 
-// causes are the usual causes by the words of a request's last line.
-var causes = []struct{ word, cause string }{
+// causes maps phrases in a request's last line to the usual cause.
+var causes = []struct{ phrase, cause string }{
 	{"in quarantine", "Servers ended while they ran the same request, under whatever id, so it is kept from further ones; this attempt did not run unless it says that it may have. See the servers below; gentianctl platform quarantine releases it."},
 	{"over its quota", "The account asked for more than its limit over all hosts; the request did not run."},
 	{"no server had room", "Overload: it waited its part of the time while more urgent or earlier requests took the places; it did not run."},
 	{"no usable server", "Every server of the service left, was out of reach or answered nothing; it did not run."},
-	{"retry budget", "A run failed, and the service's budget for repeats was spent."},
-	{"no place to resume", "Its server broke off, and no other had room in time to go on with the stream."},
+	{"retry budget", "A run failed, and the service's retry budget was spent."},
+	{"no place to resume", "Its server failed during the stream, and no other had room in time to resume it."},
 	{"may have run", "Its server had it when the time ran out, or lost its answer; it may have run."},
-	{"no configuration", "The host had just started and had not reached the store."},
-	{"shuts down", "The host was stopped; callers that still had its address were sent elsewhere."},
+	{"no configuration", "The host had just started and had not read the configuration from the store yet."},
+	{"shuts down", "The host was shutting down; callers that still used its address were sent to other hosts."},
 	{"belongs to no account", "The key is not in the configuration in force on that host; see config_in_force for its version."},
 	{"no route", "No route of the configuration in force on that host matches; see config_in_force for its version."},
 }
 
-// Cause tells the usual cause of the request's end, empty when its lines tell
-// no failure.
+// Cause returns the usual cause of the request's end, empty if its lines show no failure.
 func (s Story) Cause() string {
 	last := s.Request[len(s.Request)-1]
 	for _, c := range causes {
-		if strings.Contains(last.Detail, c.word) {
+		if strings.Contains(last.Detail, c.phrase) {
 			return c.cause
 		}
 	}
@@ -190,14 +187,14 @@
 	case "request_left":
 		return "The caller left " + last.Detail
 	case "request_answered":
-		return late(last.Detail)
+		return slowestPhase(last.Detail)
 	}
 	return ""
 }
 
-// late tells where the time of an answered request went.
-func late(detail string) string {
-	waited, first, after := field(detail, "waited"), field(detail, "first"), field(detail, "after")
+// slowestPhase names the phase that took most of the time of an answered request.
+func slowestPhase(detail string) string {
+	waited, first, after := durationField(detail, "waited"), durationField(detail, "first"), durationField(detail, "after")
 	switch {
 	case after == 0:
 		return ""
@@ -209,9 +206,9 @@
 	return "Answered. Most of its time was the stream itself."
 }
 
-// field reads a duration that a detail gives as name=value, 0 when it does not.
-func field(detail, name string) time.Duration {
-	d, err := time.ParseDuration(word(detail, name))
+// durationField returns the duration that a detail gives as name=value, 0 if there is none.
+func durationField(detail, name string) time.Duration {
+	d, err := time.ParseDuration(textField(detail, name))
 	if err != nil {
 		return 0
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -32,7 +32,7 @@
 var _ = Describe("explaining a request", func() {
 	lines, err := Read(strings.NewReader(logs))
 
-	It("tells its own lines and what its host and servers went through meanwhile", func() {
+	It("returns its own lines and the events of its host and servers around that time", func() {
 		Expect(err).NotTo(HaveOccurred())
 		s, err := Find(lines, "r1")
 		Expect(err).NotTo(HaveOccurred())
@@ -41,9 +41,9 @@
 		Expect(s.Host).To(ConsistOf(And(HaveField("Server", "i-9"), HaveField("Detail", "gone"))))
 		Expect(s.Cause()).To(ContainSubstring("may have run"))
 	})
-	// Story: an on-call engineer has the id of a refused request. The runs that ended
-	// servers had other ids, on other hosts.
-	It("tells which servers ended under the same request, and what ran on one", func() {
+	// An on-call engineer has only the id of a refused request. The runs that ended servers had
+	// other ids, on other hosts.
+	It("returns the servers that ended under the same request, and what ran on one", func() {
 		s, err := Find(lines, "r4")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Cause()).To(ContainSubstring("kept from further ones"))
@@ -58,15 +58,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Cause()).To(ContainSubstring("more than its limit"))
 	})
-	DescribeTable("tells where the time of a late answer went", func(detail, word string) {
+	DescribeTable("names the phase that took most of the time of an answer", func(detail, phrase string) {
 		s := Story{Request: []Line{{Name: "request_answered", Detail: detail}}}
-		Expect(s.Cause()).To(ContainSubstring(word))
+		Expect(s.Cause()).To(ContainSubstring(phrase))
 	},
 		Entry(nil, "200 waited=1.03s first=53ms after=1.083s", "waited for a place"),
 		Entry(nil, "200 waited=3ms first=900ms after=1.1s", "its server took"),
 		Entry(nil, "200 waited=3ms first=90ms after=4s", "the stream itself"),
 	)
-	It("says when no line names it", func() {
+	It("fails with UnknownRequest when no line names it", func() {
 		_, err := Find(lines, "r3")
 		Expect(failure.Is(err, failure.UnknownRequest)).To(BeTrue())
 	})
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Loss tells what became of a request, by what made it so.
-type Loss string
+// Outcome is how a request ended, with the cause of a failure or delay.
+type Outcome string
 
-// The ends of requests. Late ones are told by what took most of their time.
+// Outcomes of requests. Late ones are divided by the phase that took most of their time.
 const (
-	InTime     Loss = "in time"
-	LateWait   Loss = "late: waited"
-	LateFirst  Loss = "late: first event"
-	LatePause  Loss = "late: pause"
-	NoRoom     Loss = "refused: no room"
-	OverQuota  Loss = "refused: quota"
-	NotAllowed Loss = "not allowed"
-	OtherEnd   Loss = "refused: other"
-	LeftIt     Loss = "caller left"
-	LostIt     Loss = "lost at its server"
+	InTime       Outcome = "in time"
+	LateWait     Outcome = "late: waited"
+	LateFirst    Outcome = "late: first event"
+	LatePause    Outcome = "late: pause"
+	NoRoom       Outcome = "refused: no room"
+	OverQuota    Outcome = "refused: quota"
+	NotAllowed   Outcome = "not allowed"
+	OtherRefusal Outcome = "refused: other"
+	CallerLeft   Outcome = "caller left"
+	LostAtServer Outcome = "lost at its server"
 )
 
-// Losses lists the ends in the order of their columns.
-var Losses = []Loss{InTime, LateWait, LateFirst, LatePause, NoRoom, OverQuota, OtherEnd, LostIt, LeftIt, NotAllowed}
+// Losses lists the outcomes in the order of their columns.
+var Losses = []Outcome{InTime, LateWait, LateFirst, LatePause, NoRoom, OverQuota, OtherRefusal, LostAtServer, CallerLeft, NotAllowed}
 
-// Tally counts ends of requests.
+// Tally counts outcomes of requests.
 type Tally struct {
 	Of    string // a route, or a server
 	Total int
-	Ends  map[Loss]int
+	Ends  map[Outcome]int
 }
 
-// TallyBy counts how requests ended, by what of names for each: ByRoute, ByServer.
-// Requests for which that is not known are left out.
-func TallyBy(lines []Line, of func(Line) string) []Tally {
+// TallyBy counts outcomes for each key that keyOf (ByRoute or ByServer) gives. Requests with an
+// empty key are left out.
+func TallyBy(lines []Line, keyOf func(Line) string) []Tally {
 	found := map[string]*Tally{}
-	for _, l := range lines {
-		end, ok := lossOf(l)
-		name := of(l)
-		if !ok || name == "" {
+	for _, line := range lines {
+		outcome, ok := outcomeOf(line)
+		key := keyOf(line)
+		if !ok || key == "" {
 			continue
 		}
-		t := found[name]
-		if t == nil {
-			t = &Tally{Of: name, Ends: map[Loss]int{}}
-			found[name] = t
+		tally := found[key]
+		if tally == nil {
+			tally = &Tally{Of: key, Ends: map[Outcome]int{}}
+			found[key] = tally
 		}
-		t.Total++
-		t.Ends[end]++
+		tally.Total++
+		tally.Ends[outcome]++
 	}
 	out := make([]Tally, 0, len(found))
-	for _, t := range found {
-		out = append(out, *t)
+	for _, tally := range found {
+		out = append(out, *tally)
 	}
 	slices.SortFunc(out, func(a, b Tally) int {
 		return cmp.Or(cmp.Compare(b.Total, a.Total), cmp.Compare(a.Of, b.Of))
@@ -62,74 +62,75 @@
 	return out
 }
 
-// ByRoute names the route of a request.
-func ByRoute(l Line) string { return word(l.Detail, "route") }
+// ByRoute returns the route of a request.
+func ByRoute(l Line) string { return textField(l.Detail, "route") }
 
-// ByServer names the server that a request was sent to last.
+// ByServer returns the server to which a request was sent last.
 func ByServer(l Line) string { return l.Server }
 
-// lossOf reads the line that ends a request; ok is false for any other line.
-func lossOf(l Line) (end Loss, ok bool) {
-	switch l.Name {
+// outcomeOf returns the outcome from the line that ends a request; ok is false for any other
+// line.
+func outcomeOf(line Line) (outcome Outcome, ok bool) {
+	switch line.Name {
 	case "request_answered":
-		return lateness(l.Detail), true
+		return outcomeOfAnswer(line.Detail), true
 	case "request_left":
-		return LeftIt, true
+		return CallerLeft, true
 	case "request_cut":
-		return LostIt, true
+		return LostAtServer, true
 	case "request_refused":
-		return refusal(l.Detail), true
+		return outcomeOfRefusal(line.Detail), true
 	}
 	return "", false
 }
 
-// lateness tells what made an answer late, or that it was in time.
-func lateness(detail string) Loss {
-	waited, first := field(detail, "waited"), field(detail, "first")
-	aim, pause, most := field(detail, "aim"), field(detail, "pause"), field(detail, "most")
+// outcomeOfAnswer reports whether an answer was in time, or what made it late.
+func outcomeOfAnswer(detail string) Outcome {
+	waited, first := durationField(detail, "waited"), durationField(detail, "first")
+	latencyTarget, pause, maxPause := durationField(detail, "aim"), durationField(detail, "pause"), durationField(detail, "most")
 	switch {
-	case aim > 0 && waited+first > aim && waited > first:
+	case latencyTarget > 0 && waited+first > latencyTarget && waited > first:
 		return LateWait
-	case aim > 0 && waited+first > aim:
+	case latencyTarget > 0 && waited+first > latencyTarget:
 		return LateFirst
-	case most > 0 && pause > most:
+	case maxPause > 0 && pause > maxPause:
 		return LatePause
 	}
 	return InTime
 }
 
-// refusals are the reasons of refusals by the words of their lines.
+// refusals maps phrases in the line of a refusal to its outcome.
 var refusals = []struct {
-	word string
-	end  Loss
+	phrase  string
+	outcome Outcome
 }{
 	{"no server had room", NoRoom},
 	{"over its quota", OverQuota},
-	{"may have run", LostIt},
+	{"may have run", LostAtServer},
 	{"belongs to no account", NotAllowed},
 	{"no route", NotAllowed},
 }
 
-func refusal(detail string) Loss {
+func outcomeOfRefusal(detail string) Outcome {
 	for _, r := range refusals {
-		if strings.Contains(detail, r.word) {
-			return r.end
+		if strings.Contains(detail, r.phrase) {
+			return r.outcome
 		}
 	}
-	return OtherEnd
+	return OtherRefusal
 }
 
-// word reads what a detail gives as name=value, empty when it does not.
-func word(detail, name string) string {
-	for _, w := range strings.Fields(detail) {
-		if value, ok := strings.CutPrefix(w, name+"="); ok {
+// textField returns the value that a detail gives as name=value, empty if there is none.
+func textField(detail, name string) string {
+	for _, pair := range strings.Fields(detail) {
+		if value, ok := strings.CutPrefix(pair, name+"="); ok {
 			return value
 		}
 	}
 	return ""
 }
 
-// Between keeps the lines of a span of time; a zero bound is open.
+// Between returns the lines of a time span; a zero bound is open.
 func Between(lines []Line, from, to time.Time) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(l Line) bool {
 		return !from.IsZero() && l.At.Before(from) || !to.IsZero() && l.At.After(to)
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the table of losses", func() {
+var _ = Describe("the table of outcomes", func() {
 	line := func(name, server, detail string) string {
 		return `level=info ts=2026-05-22T04:43:42.0Z host=h name=` + name + ` request=r server=` + server + ` detail="` + detail + `"`
 	}
@@ -25,21 +25,21 @@
 		line("server_lost", "b", "route=chat"),
 	}, "\n")
 
-	It("tells by route and by server what made requests late or lost them", func() {
+	It("counts by route and by server what made requests late or fail", func() {
 		lines, err := Read(strings.NewReader(text))
 		Expect(err).NotTo(HaveOccurred())
 		rows := TallyBy(lines, ByRoute)
 		Expect(rows).To(HaveLen(2))
-		Expect(rows[0]).To(Equal(Tally{Of: "chat", Total: 8, Ends: map[Loss]int{
-			InTime: 1, LateFirst: 1, LateWait: 1, LatePause: 1, NoRoom: 1, OverQuota: 1, LostIt: 1, LeftIt: 1,
+		Expect(rows[0]).To(Equal(Tally{Of: "chat", Total: 8, Ends: map[Outcome]int{
+			InTime: 1, LateFirst: 1, LateWait: 1, LatePause: 1, NoRoom: 1, OverQuota: 1, LostAtServer: 1, CallerLeft: 1,
 		}}))
-		Expect(rows[1].Ends).To(Equal(map[Loss]int{LostIt: 1}))
+		Expect(rows[1].Ends).To(Equal(map[Outcome]int{LostAtServer: 1}))
 		servers := TallyBy(lines, ByServer)
 		Expect(servers[0].Of).To(Equal("b"))
 		Expect(servers[0].Ends[LatePause]).To(Equal(1))
 	})
 
-	It("keeps to a span of time", func() {
+	It("keeps only lines of a time span", func() {
 		lines, err := Read(strings.NewReader(text))
 		Expect(err).NotTo(HaveOccurred())
 		at := lines[0].At
