--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -7,19 +7,19 @@
 	"github.com/gentianflow/gentianflow/internal/peer"
 )
 
-// Order names who reads the store for all: a few readers, the home first, and behind them
-// standbys, which read it while no reader has news.
+// Order lists the hosts that read the store for all others: a few readers, the home first,
+// followed by standbys, which read it while no reader has a fresh answer.
 type Order struct {
 	Names   []string // readers, then standbys
-	Readers int      // how many of Names are readers
-	Self    int      // place of this host in Names, -1: it has none
+	Readers int      // number of readers in Names
+	Self    int      // index of this host in Names, -1 if not listed
 }
 
-// around splits the others into those that this host asks before it reads the store, and
-// those that it asks when the store does not answer it. Readers ask the home alone before
-// they read, all at once: the store may turn several of them away together, and each takes
-// seconds to notice.
-func (o Order) around() (before, after []string) {
+// peers splits the other hosts into those that this host asks before it reads the store, and
+// those that it asks when the store doesn't answer. Readers ask only the home first and then
+// all read the store in parallel: the store may refuse several of them together, and each takes
+// seconds to detect that.
+func (o Order) peers() (before, after []string) {
 	switch {
 	case o.Self < 0:
 		return o.Names, nil
@@ -33,14 +33,14 @@
 // Role is what a host does for others that follow a table.
 type Role int
 
-// The roles, by how soon a host reads the store.
+// The roles, from the last to read the store to the first.
 const (
-	Follower Role = iota // reads it for itself, if at all
-	Standby              // reads it while no reader has news
+	Follower Role = iota // reads it only for itself, if at all
+	Standby              // reads it while no reader has a fresh answer
 	Reader               // reads it
 )
 
-// Role tells the role of this host.
+// Role returns the role of this host.
 func (o Order) Role() Role {
 	switch {
 	case o.Self < 0:
@@ -56,6 +56,6 @@
 	Order() Order
 	// Open opens a stream to a reader.
 	Open(ctx context.Context, name string) (*peer.Stream, error)
-	// Hosts is how many hosts there are, as far as this one knows.
+	// Hosts returns the number of hosts known to this one.
 	Hosts() int
 }
--- a/internal/store/pack.go
+++ b/internal/store/pack.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// packFrom is the size from which rows are compressed on their way to other
-	// hosts. A configuration of 2,000 routes has 0.7 MB and compresses to a tenth;
-	// in full it takes 0.6 s of the 10 Mbit/s that the smallest hosts have, and the
-	// home's messages to them wait behind it. The list of 3,000 backend servers has
-	// 0.6 MB, which a home would send to each of 300 hosts.
-	packFrom = 2 << 10
-	// maxUnpacked bounds the rows of a reply in bytes.
-	maxUnpacked = 16 << 20
-	// keptPacks is how many packed replies are kept. Hosts that follow a table
-	// are behind the same version as a rule, so one serves nearly all.
-	keptPacks = 4
+	// compressMinSize is the size in bytes from which rows are compressed for other hosts. A
+	// configuration of 2,000 routes has 0.7 MB and compresses to a tenth; uncompressed it takes
+	// 0.6 s of the 10 Mbit/s link of the smallest hosts and delays the home's messages to them.
+	// The list of 3,000 backend servers has 0.6 MB, which a home would send to each of 300
+	// hosts.
+	compressMinSize = 2 << 10
+	// maxUncompressed is the maximum size in bytes of a reply's rows after decompression.
+	maxUncompressed = 16 << 20
+	// maxCachedReplies is the number of compressed replies that are cached. Most hosts that
+	// follow a table are at the same version, so one reply serves nearly all.
+	maxCachedReplies = 4
 )
 
-// span names the rows of a reply: all of a table as of a version, or those that
-// changed behind another one.
-type span struct {
+// rowRange identifies the rows of a reply: a whole table at the version newest, or the rows
+// that changed after the version after.
+type rowRange struct {
 	whole         bool
 	after, newest int64
 }
 
-// packed is a reply's rows, compressed once for all hosts.
-type packed struct {
-	of   span
+// compressedRows are the rows of a reply, compressed once for all hosts.
+type compressedRows struct {
+	key  rowRange
 	rows []byte
 }
 
-// pack puts rows into a reply, compressed when they are large.
-func (r *Relay) pack(reply *wire.TableReply, of span, rows []Row) {
+// pack sets the rows of a reply, compressed if they are large.
+func (r *Relay) pack(reply *wire.TableReply, key rowRange, rows []Row) {
 	size := 0
 	for _, row := range rows {
 		size += len(row.Value)
 	}
-	if size < packFrom {
+	if size < compressMinSize {
 		reply.Rows = wireRows(rows)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.packs {
-		if p.of == of {
-			reply.Packed = p.rows
+	for _, cached := range r.cachedReplies {
+		if cached.key == key {
+			reply.Packed = cached.rows
 			return
 		}
 	}
-	text, err := deflate(&wire.TableRows{Rows: wireRows(rows)})
+	compressed, err := deflate(&wire.TableRows{Rows: wireRows(rows)})
 	if err != nil {
-		reply.Rows = wireRows(rows) // sent as they are
+		reply.Rows = wireRows(rows) // send them uncompressed
 		return
 	}
-	r.packs = append(r.packs[max(0, len(r.packs)-keptPacks+1):], packed{of, text})
-	reply.Packed = text
+	r.cachedReplies = append(r.cachedReplies[max(0, len(r.cachedReplies)-maxCachedReplies+1):], compressedRows{key, compressed})
+	reply.Packed = compressed
 }
 
 func wireRows(rows []Row) []*wire.TableRow {
@@ -74,14 +74,14 @@
 }
 
 func deflate(m proto.Message) ([]byte, error) {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return nil, failure.Wrap(failure.BadFrame, err, "encode rows")
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err == nil {
-		_, err = w.Write(text)
+		_, err = w.Write(data)
 	}
 	if err == nil {
 		err = w.Close()
@@ -91,20 +91,20 @@
 
 // unpack returns the rows of a reply. It fails with BadFrame.
 func unpack(reply *wire.TableReply) ([]Row, error) {
-	carried := reply.Rows
+	encoded := reply.Rows
 	if len(reply.Packed) > 0 {
-		text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(reply.Packed)), maxUnpacked))
+		data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(reply.Packed)), maxUncompressed))
 		if err != nil {
 			return nil, failure.Wrap(failure.BadFrame, err, "unpack rows")
 		}
 		m := &wire.TableRows{}
-		if err := proto.Unmarshal(text, m); err != nil {
+		if err := proto.Unmarshal(data, m); err != nil {
 			return nil, failure.Wrap(failure.BadFrame, err, "decode rows")
 		}
-		carried = m.Rows
+		encoded = m.Rows
 	}
-	rows := make([]Row, 0, len(carried))
-	for _, w := range carried {
+	rows := make([]Row, 0, len(encoded))
+	for _, w := range encoded {
 		rows = append(rows, Row{Key: w.Key, Value: w.Value, Version: w.Version, Deleted: w.Deleted})
 	}
 	return rows, nil
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -10,56 +10,54 @@
 )
 
 const (
-	// staleAfter is how long the store may be silent towards a host that reads it
-	// before the others are sent elsewhere.
+	// staleAfter is how long after the store's last answer a relay still answers other hosts.
 	staleAfter = 2 * time.Second
-	// outageFrom is the least silence of the store that the others are told of. Entries
-	// of servers lapse after twice as long.
-	outageFrom = 1 * time.Second
-	// maxHistory bounds the changes of a table that are kept; whoever is
-	// further behind reads the table anew. It is more than the backend servers of
-	// the largest fleet played (3,000), which all register within a second.
+	// minOutage is the shortest outage of the store that is reported to other hosts. Server
+	// entries expire after twice as long.
+	minOutage = 1 * time.Second
+	// maxHistory is the maximum number of changes kept for a table; hosts that are further
+	// behind read the whole table. It exceeds the 3,000 backend servers of the largest fleet,
+	// which all register within a second.
 	maxHistory = 4096
 )
 
-// Relay keeps what one host reads of a table, for the others: a store that is
-// read by every host of a fleet costs with each host, one that is read by the
-// home costs the same for all. mu guards all fields; changed is closed and
-// made anew with each update.
+// Relay serves to other hosts what one host reads of a table. Calls to the store are billed: if
+// every host read it, the cost would grow with the fleet. mu guards all fields; changed is
+// closed and replaced when waiting calls must be woken.
 type Relay struct {
-	mu      sync.Mutex
-	rows    map[string]Row
-	history []Row
-	from    int64 // history begins behind this version
-	version int64
-	// fresh is when the store itself gave its newest answer, zero while it fails. What
-	// another relay tells does not count: two hosts that follow each other would take
-	// their own words for the store's.
-	fresh   time.Time
-	failed  bool // the store has failed to answer once
-	changed chan struct{}
-	packs   []packed // newest last
-	// released counts the releases.
-	released int
-	gap      time.Duration // the store's newest outage, 0: none
-	returned time.Time     // its end
+	mu           sync.Mutex
+	rows         map[string]Row
+	history      []Row
+	historyStart int64 // history holds the changes after this version
+	version      int64
+	// lastAnswer is when the store itself gave its newest answer, zero while it fails. Answers
+	// of another relay don't count: two hosts that follow each other would take each other's
+	// answers for the store's.
+	lastAnswer    time.Time
+	failed        bool // the store failed to answer at least once
+	changed       chan struct{}
+	cachedReplies []compressedRows // newest last
+	// releaseCount is the number of calls of release.
+	releaseCount int
+	gap          time.Duration // length of the store's newest outage, 0 if none
+	returned     time.Time     // end of that outage
 }
 
-// NewRelay makes an empty relay, which has nothing to tell yet.
+// NewRelay returns an empty relay, which can't answer calls until the first Apply.
 func NewRelay() *Relay {
 	return &Relay{rows: map[string]Row{}, changed: make(chan struct{})}
 }
 
-// Apply takes an update of the watcher over.
+// Apply stores an update of the watcher.
 func (r *Relay) Apply(u Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := r.fresh.IsZero() && r.version == 0
+	firstUpdate := r.lastAnswer.IsZero() && r.version == 0
 	now := time.Now()
 	if u.Reader == "" {
-		r.fresh = now
+		r.lastAnswer = now
 	}
-	if u.Gap > outageFrom {
+	if u.Gap > minOutage {
 		r.gap, r.returned = u.Gap, now
 	}
 	rows := u.Rows
@@ -75,24 +73,24 @@
 		}
 	}
 	r.version = max(r.version, u.Version)
-	if first {
-		r.from = r.version
+	if firstUpdate {
+		r.historyStart = r.version
 		rows = nil
 	}
-	r.remember(rows)
-	if len(rows) > 0 || first {
-		r.wake()
+	r.appendHistory(rows)
+	if len(rows) > 0 || firstUpdate {
+		r.wakeWaiters()
 	}
 }
 
-// difference turns a whole table into the changes against what was known. They
-// count as made at the version of the read. The caller holds mu.
+// difference returns the changes between the known rows and a whole table. They get the version
+// of the read. The caller holds mu.
 func (r *Relay) difference(u Update) []Row {
 	var rows []Row
 	listed := map[string]bool{}
 	for _, row := range u.Rows {
 		listed[row.Key] = true
-		if have, ok := r.rows[row.Key]; !ok || have.Version != row.Version || !bytes.Equal(have.Value, row.Value) {
+		if known, ok := r.rows[row.Key]; !ok || known.Version != row.Version || !bytes.Equal(known.Value, row.Value) {
 			row.Version = max(row.Version, u.Version)
 			rows = append(rows, row)
 		}
@@ -105,39 +103,39 @@
 	return rows
 }
 
-func (r *Relay) remember(rows []Row) {
+func (r *Relay) appendHistory(rows []Row) {
 	r.history = append(r.history, rows...)
-	if over := len(r.history) - maxHistory; over > 0 {
-		r.from = r.history[over-1].Version
-		r.history = append([]Row(nil), r.history[over:]...)
+	if excess := len(r.history) - maxHistory; excess > 0 {
+		r.historyStart = r.history[excess-1].Version
+		r.history = append([]Row(nil), r.history[excess:]...)
 	}
 }
 
-func (r *Relay) wake() {
+func (r *Relay) wakeWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Failed notes that the store did not answer. Whoever waits is sent away.
+// Failed records that the store did not answer, and ends all waiting calls with an error.
 func (r *Relay) Failed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.fresh.IsZero() || !r.failed {
-		r.fresh, r.failed = time.Time{}, true
-		r.wake()
+	if !r.lastAnswer.IsZero() || !r.failed {
+		r.lastAnswer, r.failed = time.Time{}, true
+		r.wakeWaiters()
 	}
 }
 
-// release answers whoever waits, so that each looks anew at whom to ask.
+// release ends all waiting calls, so that each caller determines again which host to ask.
 func (r *Relay) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.released++
-	r.wake()
+	r.releaseCount++
+	r.wakeWaiters()
 }
 
-// outage tells how long the store's newest outage lasted and how long ago it ended, in
-// milliseconds, 0 when there was none.
+// outage returns how long the store's newest outage lasted and how long ago it ended, in
+// milliseconds, or 0 if there was none.
 func (r *Relay) outage() (gap, returned uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,16 +145,15 @@
 	return uint32(r.gap.Milliseconds()), uint32(time.Since(r.returned).Milliseconds())
 }
 
-// firstWait is how long a whole read waits at a host that has not read the table itself
-// yet: it starts like the host that asks, and reads within that time.
-const firstWait = 300 * time.Millisecond
+// firstReadWait is how long a full read waits at a host that has not yet read the table itself:
+// both hosts usually start together, and that host reads the table within this time.
+const firstReadWait = 300 * time.Millisecond
 
-// Snapshot returns the table as it was read last. It fails with StoreDown when
-// that is too long ago.
+// Snapshot returns the table as last read. It fails with StoreDown if that was too long ago.
 func (r *Relay) Snapshot(ctx context.Context) ([]Row, int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.fresh) > staleAfter {
+	if time.Since(r.lastAnswer) > staleAfter {
 		return nil, 0, errStale
 	}
 	rows := make([]Row, 0, len(r.rows))
@@ -166,14 +163,14 @@
 	return rows, r.version, nil
 }
 
-func (r *Relay) awaitFirst(ctx context.Context) {
+func (r *Relay) awaitFirstRead(ctx context.Context) {
 	r.mu.Lock()
-	known, changed := r.version > 0 || r.failed, r.changed
+	readTried, changed := r.version > 0 || r.failed, r.changed
 	r.mu.Unlock()
-	if known {
+	if readTried {
 		return
 	}
-	timer := time.NewTimer(firstWait)
+	timer := time.NewTimer(firstReadWait)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -182,23 +179,23 @@
 	}
 }
 
-// errStale sends a host to the store itself.
-var errStale = failure.New(failure.StoreDown, "the home has no fresh word of the store")
+// errStale makes the caller try the next reader or the store.
+var errStale = failure.New(failure.StoreDown, "the relay has no fresh answer of the store")
 
-// Changes waits up to wait for changes behind a version, or until release. It fails with
-// StoreDown when the relay's own news is old, with HistoryLost when after is too far back.
+// Changes waits up to wait for changes after a version, or until release. It fails with
+// StoreDown if the relay's data is stale, with HistoryLost if after is older than the history.
 func (r *Relay) Changes(ctx context.Context, after int64, wait time.Duration) ([]Row, int64, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	begun := r.releases()
+	releasesAtStart := r.releases()
 	for {
-		rows, version, changed, err := r.since(after)
-		if err != nil || len(rows) > 0 || r.releases() != begun {
+		rows, version, changed, err := r.changesSince(after)
+		if err != nil || len(rows) > 0 || r.releases() != releasesAtStart {
 			return rows, version, err
 		}
 		select {
 		case <-changed:
-		case <-time.After(r.staleIn()):
+		case <-time.After(r.untilStale()):
 		case <-timer.C:
 			return nil, version, nil
 		case <-ctx.Done():
@@ -207,29 +204,29 @@
 	}
 }
 
-// staleIn is how long the relay's news stay fresh without another answer of the store.
-func (r *Relay) staleIn() time.Duration {
+// untilStale returns how long the relay's data stays fresh without another answer of the store.
+func (r *Relay) untilStale() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return staleAfter - time.Since(r.fresh) + time.Millisecond
+	return staleAfter - time.Since(r.lastAnswer) + time.Millisecond
 }
 
 func (r *Relay) releases() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.released
+	return r.releaseCount
 }
 
-// since returns what changed behind a version, and a channel that closes with the next
+// changesSince returns the changes after a version, and a channel that is closed at the next
 // change.
-func (r *Relay) since(after int64) ([]Row, int64, <-chan struct{}, error) {
+func (r *Relay) changesSince(after int64) ([]Row, int64, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.fresh) > staleAfter {
+	if time.Since(r.lastAnswer) > staleAfter {
 		return nil, 0, nil, errStale
 	}
-	if after < r.from {
-		return nil, 0, nil, failure.New(failure.HistoryLost, "the relay's history begins at %d", r.from)
+	if after < r.historyStart {
+		return nil, 0, nil, failure.New(failure.HistoryLost, "the relay's history begins at %d", r.historyStart)
 	}
 	var rows []Row
 	for _, row := range r.history {
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -21,7 +21,7 @@
 	"github.com/gentianflow/gentianflow/internal/store"
 )
 
-func whole(version int64, keys ...string) store.Update {
+func wholeTable(version int64, keys ...string) store.Update {
 	u := store.Update{Whole: true, Version: version}
 	for _, k := range keys {
 		u.Rows = append(u.Rows, store.Row{Key: k, Version: 1})
@@ -31,9 +31,9 @@
 
 var _ = Describe("the home's relay", func() {
 	ctx := context.Background()
-	It("tells the table and its changes", func() {
+	It("returns the table and its changes", func() {
 		r := store.NewRelay()
-		r.Apply(whole(5, "a", "b"))
+		r.Apply(wholeTable(5, "a", "b"))
 		rows, version, err := r.Snapshot(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(HaveLen(2))
@@ -47,30 +47,30 @@
 		Expect(rows).To(ConsistOf(And(HaveField("Key", "a"), HaveField("Deleted", true))))
 	})
 
-	// The store forgot its history and the home read the table anew. A server
-	// that left in between shows only as missing; the others must hear of it.
-	It("tells what a whole read no longer shows", func() {
+	// The store loses its history and the home reads the whole table. A server that left in
+	// between is only missing from it; other hosts must still get its removal.
+	It("reports rows that are missing from a whole read as deleted", func() {
 		r := store.NewRelay()
-		r.Apply(whole(5, "a", "b"))
-		r.Apply(whole(9, "b"))
+		r.Apply(wholeTable(5, "a", "b"))
+		r.Apply(wholeTable(9, "b"))
 		rows, version, err := r.Changes(ctx, 5, time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(BeNumerically("==", 9))
 		Expect(rows).To(ConsistOf(And(HaveField("Key", "a"), HaveField("Deleted", true))))
 	})
 
-	It("sends those too far behind to the whole table", func() {
+	It("makes hosts that are too far behind read the whole table", func() {
 		r := store.NewRelay()
-		r.Apply(whole(5, "a"))
+		r.Apply(wholeTable(5, "a"))
 		_, _, err := r.Changes(ctx, 3, time.Second)
 		Expect(failure.Is(err, failure.HistoryLost)).To(BeTrue())
 	})
 
-	// The home is cut off from the store. What it last read grows old, and the
-	// others must read for themselves at once, those too that wait at it.
-	It("sends everybody away when the store does not answer it", func() {
+	// The home is partitioned from the store. Its data becomes stale, and the other hosts,
+	// including those that wait at it, must read the store themselves at once.
+	It("ends all calls when the store does not answer it", func() {
 		r := store.NewRelay()
-		r.Apply(whole(5, "a"))
+		r.Apply(wholeTable(5, "a"))
 		left := make(chan error, 1)
 		go func() {
 			_, _, err := r.Changes(ctx, 5, 10*time.Second)
@@ -84,39 +84,39 @@
 	})
 })
 
-// direct is the store itself, with one row and a version.
-type direct struct{ version int64 }
+// fixedStore is the store itself, with one row and a version.
+type fixedStore struct{ version int64 }
 
-func (d direct) Snapshot(context.Context, string) ([]store.Row, int64, error) {
+func (d fixedStore) Snapshot(context.Context, string) ([]store.Row, int64, error) {
 	return []store.Row{{Key: "direct"}}, d.version, nil
 }
 
-func (d direct) Changes(_ context.Context, _ string, after int64, _ time.Duration) ([]store.Row, int64, error) {
+func (d fixedStore) Changes(_ context.Context, _ string, after int64, _ time.Duration) ([]store.Row, int64, error) {
 	return []store.Row{{Key: "direct"}}, max(after, d.version), nil
 }
 
-// counter counts what is written to it.
-type counter struct{ n *int }
+// byteCounter counts the bytes written to it.
+type byteCounter struct{ n *int }
 
-func (c counter) Write(p []byte) (int, error) {
+func (c byteCounter) Write(p []byte) (int, error) {
 	*c.n += len(p)
 	return len(p), nil
 }
 
-// fakeHome is a home that serves relays over pipes. Its name may change.
+// fakeHome is a home that serves relays over pipes. Its name may change during a test.
 type fakeHome struct {
-	relays  *store.Relays
-	serves  func() bool // whether the host at the other end is the home
-	name    string      // empty: this host is
-	next    *fakeHome   // the reader after it
-	hosts   int
-	opened  int
-	carried int // bytes read
+	relays     *store.Relays
+	isHome     func() bool // whether the host at the other end is the home
+	name       string      // empty if this host is the home
+	nextReader *fakeHome   // the next reader
+	hosts      int
+	opened     int
+	bytesRead  int
 }
 
 func (h *fakeHome) Order() store.Order {
 	o := store.Order{Self: -1}
-	for r := h; r != nil; r = r.next {
+	for r := h; r != nil; r = r.nextReader {
 		if r.name == "" {
 			o.Self = len(o.Names)
 		}
@@ -127,7 +127,7 @@
 }
 
 func (h *fakeHome) role() store.Role {
-	if h.serves() {
+	if h.isHome() {
 		return store.Reader
 	}
 	return store.Follower
@@ -137,35 +137,35 @@
 
 func (h *fakeHome) Open(_ context.Context, name string) (*peer.Stream, error) {
 	for h.name != name {
-		h = h.next
+		h = h.nextReader
 	}
 	h.opened++
 	a, b := net.Pipe()
 	go h.relays.Serve(context.Background(), &peer.Stream{Conn: b, R: bufio.NewReader(b)}, h.role)
-	return &peer.Stream{Conn: a, R: bufio.NewReader(io.TeeReader(a, counter{&h.carried}))}, nil
+	return &peer.Stream{Conn: a, R: bufio.NewReader(io.TeeReader(a, byteCounter{&h.bytesRead}))}, nil
 }
 
-func yes() bool { return true }
+func always() bool { return true }
 
 var _ = Describe("reading through the relay", func() {
 	ctx := context.Background()
 	It("asks the relay and not the store", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		r := store.NewRelayed(direct{1}, &fakeHome{relays: relays, serves: yes, name: "h"}, nil)
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		r := store.NewRelayed(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
 		rows, version, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(BeNumerically("==", 5))
 		Expect(rows).To(ConsistOf(HaveField("Key", "relayed")))
 	})
 
-	// After a change of home the new one may have read less than this host. Its
-	// table would bring a server back that has left.
-	It("does not go back to an older table", func() {
+	// After a change of home the new one may have read an older table than this host, in which
+	// a server that has left is still listed.
+	It("does not return to an older table", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
 		home := false
-		r := store.NewRelayed(direct{9}, &fakeHome{relays: relays, serves: func() bool { return home }, name: "h"}, nil)
+		r := store.NewRelayed(fixedStore{9}, &fakeHome{relays: relays, isHome: func() bool { return home }, name: "h"}, nil)
 		_, version, err := r.Changes(ctx, "t", 3, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(BeNumerically("==", 9))
@@ -175,23 +175,23 @@
 		Expect(rows).To(ConsistOf(HaveField("Key", "direct")))
 	})
 
-	// A configuration of thousands of routes comes in force late on small hosts,
-	// and their calls to the home wait behind it on the link.
-	It("carries large rows whole, in a tenth of their size", func() {
+	// Uncompressed, a configuration of thousands of routes takes effect late on small hosts and
+	// delays their calls to the home on the same link.
+	It("transfers large rows unchanged, in a tenth of their size", func() {
 		value := bytes.Repeat([]byte(`{"name":"r-828m82t","host":"ficu95.example"}`), 5000)
 		relays := store.NewRelays()
 		relays.Table("t").Apply(store.Update{Whole: true, Version: 5, Rows: []store.Row{{Key: "config", Value: value, Version: 5}}})
-		home := &fakeHome{relays: relays, serves: yes, name: "h"}
-		r := store.NewRelayed(direct{1}, home, nil)
+		home := &fakeHome{relays: relays, isHome: always, name: "h"}
+		r := store.NewRelayed(fixedStore{1}, home, nil)
 		rows, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows[0].Value).To(Equal(value))
-		Expect(home.carried).To(BeNumerically("<", len(value)/10))
+		Expect(home.bytesRead).To(BeNumerically("<", len(value)/10))
 	})
 
-	// 300 hosts start and each is told of 3,000 backend servers: 0.6 MB each, from a
-	// home of 0.4 cores, while callers wait for it.
-	It("carries a long list in a fifth of its size, compressed once for all hosts", func() {
+	// 300 hosts start and each receives 3,000 backend servers, 0.6 MB, from a home with 0.4
+	// cores while callers wait for it.
+	It("transfers a long list in a fifth of its size, compressed once for all hosts", func() {
 		var rows []store.Row
 		size := 0
 		for i := range 3000 {
@@ -202,20 +202,20 @@
 		relays := store.NewRelays()
 		relays.Table("t").Apply(store.Update{Whole: true, Version: 2})
 		relays.Table("t").Apply(store.Update{Version: 3000, Rows: rows})
-		home := &fakeHome{relays: relays, serves: yes, name: "h"}
-		got, _, err := store.NewRelayed(direct{1}, home, nil).Snapshot(ctx, "t")
+		home := &fakeHome{relays: relays, isHome: always, name: "h"}
+		got, _, err := store.NewRelayed(fixedStore{1}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		slices.SortFunc(got, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 		Expect(slices.EqualFunc(got, rows, func(a, b store.Row) bool { return a.Key == b.Key && bytes.Equal(a.Value, b.Value) })).To(BeTrue())
-		Expect(home.carried).To(BeNumerically("<", size/5))
-		changed, _, err := store.NewRelayed(direct{1}, home, nil).Changes(ctx, "t", 100, time.Second)
+		Expect(home.bytesRead).To(BeNumerically("<", size/5))
+		changed, _, err := store.NewRelayed(fixedStore{1}, home, nil).Changes(ctx, "t", 100, time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(changed).To(HaveLen(2900), "a fleet's start is not more than the relay remembers")
+		Expect(changed).To(HaveLen(2900), "the history holds the changes at the start of a fleet")
 	})
 
-	It("reads the store when this host is the home, or the home has old news", func() {
-		self := store.NewRelayed(direct{1}, &fakeHome{}, nil)
-		stale := store.NewRelayed(direct{1}, &fakeHome{relays: store.NewRelays(), serves: yes, name: "h"}, nil)
+	It("reads the store when this host is the home, or the home has no fresh answer", func() {
+		self := store.NewRelayed(fixedStore{1}, &fakeHome{}, nil)
+		stale := store.NewRelayed(fixedStore{1}, &fakeHome{relays: store.NewRelays(), isHome: always, name: "h"}, nil)
 		for _, r := range []*store.Relayed{self, stale} {
 			rows, _, err := r.Changes(ctx, "t", 0, time.Millisecond)
 			Expect(err).NotTo(HaveOccurred())
@@ -223,14 +223,13 @@
 		}
 	})
 
-	// A key is taken away and goes on working for five seconds. The home had
-	// just changed: the new one still asked the old one for news, and the old
-	// one asked the new one, so that nobody read the store.
+	// A revoked key worked for five seconds more after a change of home: the new home still
+	// asked the old one, and the old one asked the new one, so that nobody read the store.
 	It("reads the store at once when this host becomes the home", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		home := &fakeHome{relays: relays, serves: yes, name: "old"}
-		r := store.NewRelayed(direct{6}, home, nil)
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		home := &fakeHome{relays: relays, isHome: always, name: "old"}
+		r := store.NewRelayed(fixedStore{6}, home, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		home.name = ""
@@ -245,12 +244,12 @@
 		Expect(home.opened).To(Equal(2))
 	})
 
-	// A key is taken away and goes on working for five seconds. The home had just
-	// changed: the new one waited at the old one, and the old one at the new one.
-	It("does not wait at a host that is the home no more", func() {
+	// A revoked key worked for five seconds more after a change of home: the new home
+	// waited at the old one, and the old one at the new one.
+	It("does not wait at a host that is no longer the home", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		r := store.NewRelayed(direct{6}, &fakeHome{relays: relays, serves: yes, name: "old"}, nil)
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		r := store.NewRelayed(fixedStore{6}, &fakeHome{relays: relays, isHome: always, name: "old"}, nil)
 		begun := time.Now()
 		time.AfterFunc(100*time.Millisecond, relays.Release)
 		_, _, err := r.Changes(ctx, "t", 5, time.Millisecond)
@@ -258,64 +257,64 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	// The store turns the home away and serves the others. All 195 hosts read it for
-	// themselves at once, each once a second: 18,000 calls on a day.
-	It("asks the next reader when the home has no news", func() {
+	// The store refuses the home and serves the others. Without further readers, all 195 hosts
+	// read it themselves once a second: 18,000 calls a day.
+	It("asks the next reader when the home has no fresh answer", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(7, "next"))
-		home := &fakeHome{relays: store.NewRelays(), serves: yes, name: "home", hosts: 195}
-		home.next = &fakeHome{relays: relays, serves: yes, name: "next"}
-		rows, _, err := store.NewRelayed(direct{9}, home, nil).Snapshot(ctx, "t")
+		relays.Table("t").Apply(wholeTable(7, "next"))
+		home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
+		home.nextReader = &fakeHome{relays: relays, isHome: always, name: "next"}
+		rows, _, err := store.NewRelayed(fixedStore{9}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(ConsistOf(HaveField("Key", "next")))
 	})
 
-	// A third of the hosts are cut from the store at once, the home and the next reader
-	// among them. Hosts that asked the next reader waited until it had noticed too, and a
-	// key that was taken away went on working for six seconds.
+	// A third of the hosts are partitioned from the store at once, the home and the next reader
+	// among them. Hosts that waited at the next reader until it detected this too kept
+	// accepting a revoked key for six seconds.
 	It("does not wait at a reader that has lost the home and not reached the store", func() {
 		lost, fresh := store.NewRelays(), store.NewRelays()
-		lost.Table("t").Apply(whole(5, "old"))
+		lost.Table("t").Apply(wholeTable(5, "old"))
 		lost.Table("t").Failed()
-		fresh.Table("t").Apply(whole(7, "new"))
-		home := &fakeHome{relays: store.NewRelays(), serves: yes, name: "home", hosts: 195}
-		home.next = &fakeHome{relays: lost, serves: yes, name: "lost"}
-		home.next.next = &fakeHome{relays: fresh, serves: yes, name: "fresh"}
+		fresh.Table("t").Apply(wholeTable(7, "new"))
+		home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
+		home.nextReader = &fakeHome{relays: lost, isHome: always, name: "lost"}
+		home.nextReader.nextReader = &fakeHome{relays: fresh, isHome: always, name: "fresh"}
 		begun := time.Now()
-		rows, _, err := store.NewRelayed(direct{9}, home, nil).Snapshot(ctx, "t")
+		rows, _, err := store.NewRelayed(fixedStore{9}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(ConsistOf(HaveField("Key", "new")))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("tells at once when the relay that it follows has no news", func() {
+	It("reports once when the relay that it follows has no fresh answer", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		told := 0
-		home := &fakeHome{relays: relays, serves: yes, name: "h", hosts: 195}
-		r := store.NewRelayed(direct{6}, home, func() { told++ })
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		lostCalls := 0
+		home := &fakeHome{relays: relays, isHome: always, name: "h", hosts: 195}
+		r := store.NewRelayed(fixedStore{6}, home, func() { lostCalls++ })
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		relays.Table("t").Failed()
 		_, _, _ = r.Changes(ctx, "t", 5, time.Millisecond)
 		_, _, _ = r.Changes(ctx, "t", 5, time.Millisecond)
-		Expect(told).To(Equal(1))
+		Expect(lostCalls).To(Equal(1))
 	})
 
-	// The store stops answering just the hosts that read it for all. A key that was taken
-	// away went on working for 4.2 s at hosts whose turn to read it themselves had come,
-	// but which looked once a second only.
+	// The store stops answering only the readers and standbys. A revoked key worked for 4.2 s
+	// more at hosts whose turn to read the store had come but which checked for it only once a
+	// second.
 	It("lets each of 195 hosts read the store within two seconds when no reader reaches it", func() {
 		const watched = 30
 		done := make(chan time.Duration, watched)
 		for range watched {
-			home := &fakeHome{relays: store.NewRelays(), serves: yes, name: "home", hosts: 195}
+			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
 			home.relays.Table("t").Failed()
 			begun := time.Now()
 			run, stop := context.WithCancel(ctx)
 			DeferCleanup(stop)
 			w := &store.Watcher{
-				Tables: store.NewRelayed(direct{9}, home, nil), Table: "t",
+				Tables: store.NewRelayed(fixedStore{9}, home, nil), Table: "t",
 				Events: event.NewRecorder("h", "i", 16, log.NewNopLogger()),
 				Reread: func() time.Duration { return time.Minute },
 				Apply:  func(store.Update) { stop(); done <- time.Since(begun) },
@@ -327,19 +326,19 @@
 		}
 	})
 
-	// The operator changes the configuration again while the store is silent for its
-	// readers. Hosts that had read it once waited for up to 4.7 s with the next time.
-	It("lets each read it again within four seconds", func() {
+	// The operator changes the configuration again while the store doesn't answer its readers.
+	// Hosts that had read the store once waited up to 4.7 s until their next read.
+	It("lets each host read it again within four seconds", func() {
 		const watched = 30
 		done := make(chan time.Duration, watched)
 		for range watched {
-			home := &fakeHome{relays: store.NewRelays(), serves: yes, name: "home", hosts: 195}
+			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
 			home.relays.Table("t").Failed()
 			run, stop := context.WithCancel(ctx)
 			DeferCleanup(stop)
 			var reads []time.Time
 			w := &store.Watcher{
-				Tables: store.NewRelayed(direct{9}, home, nil), Table: "t",
+				Tables: store.NewRelayed(fixedStore{9}, home, nil), Table: "t",
 				Events: event.NewRecorder("h", "i", 16, log.NewNopLogger()),
 				Reread: func() time.Duration { return time.Minute },
 				Apply: func(store.Update) {
@@ -356,32 +355,32 @@
 		}
 	})
 
-	// The store is away for seconds, for all. Hosts that read it for themselves called
-	// it as often as it let them.
-	It("takes turns with the other hosts when no reader has news", func() {
+	// The store is unavailable to all for seconds. Hosts that read it themselves called it
+	// without a limit.
+	It("takes turns with the other hosts when no reader has a fresh answer", func() {
 		const hosts, each = 195, 20
 		begun := time.Now()
 		calls := 0
 		for range each {
-			home := &fakeHome{relays: store.NewRelays(), serves: yes, name: "home", hosts: hosts}
-			r := store.NewRelayed(direct{9}, home, nil)
+			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: hosts}
+			r := store.NewRelayed(fixedStore{9}, home, nil)
 			for range 3 {
 				if _, _, err := r.Changes(ctx, "t", 5, time.Millisecond); err == nil {
 					calls++
 				}
 			}
 		}
-		// In as much time the whole fleet may make 125 calls a second, and a few at first.
+		// In this time the whole fleet may make 125 calls a second, and a few at the start.
 		share := 125 * time.Since(begun).Seconds() * each / hosts
 		Expect(calls).To(BeNumerically("<", 5+share))
 	})
 
-	// A store that was away for all is back. Hosts that had no call open when it went
-	// took it for a short break, and dropped servers whose entries had lapsed meanwhile.
-	It("tells how long the store was away as its reader saw it", func() {
+	// The store returns after an outage for all hosts. Hosts that had no call open when it
+	// began took it for a short one, and dropped servers whose entries had expired in it.
+	It("returns the length of the store's outage as its reader observed it", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		r := store.NewRelayed(direct{1}, &fakeHome{relays: relays, serves: yes, name: "h"}, nil)
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		r := store.NewRelayed(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Gap()).To(BeZero())
@@ -395,10 +394,10 @@
 		Expect(r.Gap()).To(BeZero())
 	})
 
-	// Guards against servers that are used after their entry is gone: a host that asks the
-	// store now and then counted the time between two answers as the store's absence.
-	It("does not take the time in which it asked nothing for a silent store", func() {
-		r := store.NewRelayed(direct{1}, &fakeHome{}, nil)
+	// A host that reads the store only now and then counted the time between two answers as an
+	// outage, and went on using servers whose entries were gone.
+	It("does not count the time between its own calls as an outage", func() {
+		r := store.NewRelayed(fixedStore{1}, &fakeHome{}, nil)
 		for range 2 {
 			_, _, err := r.Snapshot(ctx, "t")
 			Expect(err).NotTo(HaveOccurred())
@@ -407,17 +406,18 @@
 		Expect(r.Gap()).To(BeZero())
 	})
 
-	// Guards against the same: a reader that was cut off for seconds told all hosts that
-	// the store had been away, also those that the store had answered meanwhile.
-	It("does not take the absence of a reader for that of a store that answered meanwhile", func() {
+	// A reader that was partitioned for seconds reported an outage of the store to all hosts,
+	// also to those that the store had answered meanwhile. They too went on using servers whose
+	// entries were gone.
+	It("does not count the partition of a reader as an outage of a store that answered meanwhile", func() {
 		relays := store.NewRelays()
-		home := &fakeHome{relays: relays, serves: yes, name: "h"}
-		r := store.NewRelayed(direct{6}, home, nil)
-		_, _, err := r.Snapshot(ctx, "t") // the reader has no news
+		home := &fakeHome{relays: relays, isHome: always, name: "h"}
+		r := store.NewRelayed(fixedStore{6}, home, nil)
+		_, _, err := r.Snapshot(ctx, "t") // the reader has no fresh answer
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Reader()).To(BeEmpty())
 		time.Sleep(400 * time.Millisecond) // until the reader is asked again
-		relays.Table("t").Apply(whole(5, "x"))
+		relays.Table("t").Apply(wholeTable(5, "x"))
 		relays.Table("t").Apply(store.Update{Version: 7, Rows: []store.Row{{Key: "x", Version: 7}}, Gap: 9 * time.Second})
 		_, _, err = r.Changes(ctx, "t", 6, time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
@@ -425,13 +425,13 @@
 		Expect(r.Gap()).To(BeZero())
 	})
 
-	// A call that waits for changes at the home is open for seconds. When the home ends
-	// then, the store was not silent for that time.
-	It("does not take a quiet relay for a silent store", func() {
+	// A call that waits for changes at the home is open for seconds. If the home ends in that
+	// time, the store was not unavailable since the call began.
+	It("does not count a relay without changes as an outage", func() {
 		relays := store.NewRelays()
-		relays.Table("t").Apply(whole(5, "relayed"))
-		home := &fakeHome{relays: relays, serves: yes, name: "h"}
-		r := store.NewRelayed(direct{6}, home, nil)
+		relays.Table("t").Apply(wholeTable(5, "relayed"))
+		home := &fakeHome{relays: relays, isHome: always, name: "h"}
+		r := store.NewRelayed(fixedStore{6}, home, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		time.AfterFunc(1800*time.Millisecond, relays.Table("t").Failed)
--- a/internal/store/relayed.go
+++ b/internal/store/relayed.go
@@ -14,81 +14,83 @@
 )
 
 const (
-	// relayWait is how long a call to a relay waits for changes. Nothing depends on its
-	// end: a relay that goes stale sends its callers away, and a host that falls silent
-	// loses its sessions. Each end costs the home two messages for each host and table.
-	relayWait   = 5 * time.Second
-	relayMargin = 1500 * time.Millisecond
-	relayDial   = 300 * time.Millisecond
-	// heldFrom is from when a call that was not answered counts as held by a reader with
-	// news: one without lets it wait for firstWait at most.
-	heldFrom = 2 * firstWait
-	// relayPause is how long a reader that had no news, or did not answer, is not asked
-	// again. It doubles each time, up to noNewsPause or unreachablePause.
-	relayPause       = 300 * time.Millisecond
-	noNewsPause      = 1 * time.Second
-	unreachablePause = 2 * time.Second
-	// ownRest is how long a host that the store did not answer asks others only, ownPause
-	// how long it asks them first: in a call that is not answered it hears nothing.
-	ownRest  = 1 * time.Second
-	ownPause = 5 * time.Second
-	// relayNotice is how long a host that reads the store may take to notice that it
-	// does not answer, and others to notice that this host is gone.
-	relayNotice = 1500 * time.Millisecond
-	// ownReadSpread is the time between two calls to the store of the hosts that are neither
-	// readers nor standbys, all of them together, while none of these has news: 125 a
-	// second, and from the second turn on two thirds of it. A store that is away would
-	// otherwise get calls from all hosts at once, and each is paid.
-	ownReadSpread = 8 * time.Millisecond
-	mostTurns     = 2
-	// turnLook is how often a host looks whether its turn has come.
-	turnLook = 300 * time.Millisecond
+	// relayWait is how long a call to a relay waits for changes. Longer waits delay nothing: a
+	// relay that becomes stale ends its calls, and a host that stops answering loses its
+	// sessions. Each call costs the home two messages for each host and table.
+	relayWait        = 5 * time.Second
+	relayMargin      = 1500 * time.Millisecond
+	relayDialTimeout = 300 * time.Millisecond
+	// minHeldCall is the duration from which a failed call counts as one that a reader with a
+	// fresh answer had held open: a reader without one lets a call wait for firstReadWait at
+	// most.
+	minHeldCall = 2 * firstReadWait
+	// relayPause is how long a reader that had no fresh answer, or did not answer, is not asked
+	// again. It doubles each time, up to maxStalePause or maxUnreachablePause.
+	relayPause          = 300 * time.Millisecond
+	maxStalePause       = 1 * time.Second
+	maxUnreachablePause = 2 * time.Second
+	// storeBackoff is how long a host asks only other hosts after the store did not answer it;
+	// peersFirstTime is how long it asks them before the store, because it receives no updates
+	// while a call to the store times out.
+	storeBackoff   = 1 * time.Second
+	peersFirstTime = 5 * time.Second
+	// outageDetectionTime is how long a host that reads the store may take to detect that the
+	// store doesn't answer, and other hosts to detect that this host is gone.
+	outageDetectionTime = 1500 * time.Millisecond
+	// followerReadSpacing is the time between two calls to the store by all followers together,
+	// while no reader or standby has a fresh answer: 125 calls a second, and two thirds of that
+	// from the second round on. Otherwise an unavailable store would get calls from all hosts
+	// at once, and each call is billed.
+	followerReadSpacing   = 8 * time.Millisecond
+	maxRoundsBetweenReads = 2
+	// turnCheckPeriod is how often a host checks whether its turn has come.
+	turnCheckPeriod = 300 * time.Millisecond
 )
 
-// Relayed reads a table through the hosts that read the store for all, and from the
-// store itself when none of them has news. It belongs to one Watcher, whose goroutine
-// alone uses it.
+// Relayed reads a table through the hosts that read the store for all others, and from the
+// store itself when none of them has a fresh answer. It belongs to one Watcher and is used only
+// by the Watcher's goroutine.
 //
-// Guard: the store may turn the home away and serve others, or be away for all, and each call
-// is paid. So the other readers read it then, behind them the standbys, and all others take
-// turns only when none of these has news. A host that takes turns knows the store as of seconds
-// ago, and so would a home that the store turns away: it asks the others as well.
+// The store may refuse the home and serve others, or be unavailable to all, and each call is
+// billed. Therefore the other readers read it next, then the standbys, and the followers take
+// turns only when none of these has a fresh answer. A follower that takes turns has data that
+// is seconds old, and so would a home that the store refuses: it asks the other hosts as well.
 type Relayed struct {
-	direct   Tables
-	readers  Readers
-	lost     func()
-	of       string // the reader that stream goes to
-	stream   *peer.Stream
-	pauses   map[string]pause // of readers that are not asked for a while
-	ownRead  time.Time        // when this host may read the store, zero: not drawn
-	failed   time.Time        // when the store did not answer this host, zero: it did since
-	turns    int              // that it waits from one own read to the next
-	newest   int64            // version seen; a relay may be behind
-	known    time.Time        // when the store last answered, this host or its reader
-	answered time.Time        // newest moment of which teller's word shows that the store answered
-	missed   bool             // a call to the store has failed since, or the reader followed was lost
-	gap      time.Duration    // before the newest answer
-	teller   string           // the reader that gave it, empty: the store
-	returned time.Time        // end of the newest outage that a relay told of
-	// following is set while the newest answer is a relay's, so that a call is open
-	// there nearly all the time and known is older than what is known.
+	direct             Tables
+	readers            Readers
+	onLost             func()
+	streamHost         string // the reader at the other end of stream
+	stream             *peer.Stream
+	pauses             map[string]pause // by reader that is not asked for a while
+	nextOwnRead        time.Time        // when this follower may read the store next, zero if not scheduled
+	storeFailedAt      time.Time        // when the store last failed to answer this host, zero if it answered since
+	roundsBetweenReads int              // rounds from one read of the store to the next
+	newestVersion      int64            // newest version seen; a relay may be behind
+	lastAnswer         time.Time        // when the store last answered this host or its reader
+	lastConfirmed      time.Time        // latest time at which the store has certainly answered
+	interrupted        bool             // since then a call to the store failed or the followed reader was lost
+	gap                time.Duration    // outage of the store before the newest answer
+	answeredBy         string           // the reader that gave the newest answer, empty for the store
+	lastOutageEnd      time.Time        // end of the newest outage that a relay reported
+	// following is set while the newest answer is a relay's. A call to the relay is then open
+	// nearly all the time, and lastAnswer understates how recent the data is.
 	following bool
 }
 
-// NewRelayed makes the reader of one table. lost is told when the relay that was
-// followed has no news any more; it may be nil.
-func NewRelayed(direct Tables, readers Readers, lost func()) *Relayed {
-	if lost == nil {
-		lost = func() {}
+// NewRelayed returns the reader of one table. onLost is called when the relay that was followed
+// has no fresh answer any more; it may be nil.
+func NewRelayed(direct Tables, readers Readers, onLost func()) *Relayed {
+	if onLost == nil {
+		onLost = func() {}
 	}
-	return &Relayed{direct: direct, readers: readers, lost: lost, pauses: map[string]pause{}, known: time.Now()}
+	return &Relayed{direct: direct, readers: readers, onLost: onLost, pauses: map[string]pause{}, lastAnswer: time.Now()}
 }
 
 // Gap implements Origin.
 func (r *Relayed) Gap() time.Duration { return r.gap }
 
 // Reader implements Origin.
-func (r *Relayed) Reader() string { return r.teller }
+func (r *Relayed) Reader() string { return r.answeredBy }
 
 // Snapshot implements Tables.
 func (r *Relayed) Snapshot(ctx context.Context, table string) ([]Row, int64, error) {
@@ -102,107 +104,109 @@
 	return r.read(ctx, call, relayWait+relayMargin, func() ([]Row, int64, error) { return r.direct.Changes(ctx, table, after, wait) })
 }
 
-// read makes a call at those that this host asks before it reads the store, at the store,
-// and at the others, until one has news.
+// read sends a call to the hosts that this host asks before the store, to the store, and to the
+// other hosts, until one has a fresh answer.
 func (r *Relayed) read(ctx context.Context, call *wire.TableCall, timeout time.Duration, direct func() ([]Row, int64, error)) ([]Row, int64, error) {
 	order := r.readers.Order()
-	before, after := order.around()
-	r.leave(order.Names)
-	rows, version, err := r.relayed(ctx, before, call, timeout)
-	if !hasNews(err) && time.Since(r.failed) < ownPause {
-		rows, version, err = r.relayed(ctx, after, call, timeout)
+	before, after := order.peers()
+	r.dropUnlisted(order.Names)
+	rows, version, err := r.askReaders(ctx, before, call, timeout)
+	if !isAnswer(err) && time.Since(r.storeFailedAt) < peersFirstTime {
+		rows, version, err = r.askReaders(ctx, after, call, timeout)
 	}
-	if !hasNews(err) {
-		rows, version, err = r.own(order.Role(), direct)
+	if !isAnswer(err) {
+		rows, version, err = r.readStore(order.Role(), direct)
 	}
-	if !hasNews(err) {
-		if told, at, errTold := r.relayed(ctx, after, call, timeout); hasNews(errTold) {
-			rows, version, err = told, at, errTold
+	if !isAnswer(err) {
+		if relayedRows, relayedVersion, errRelay := r.askReaders(ctx, after, call, timeout); isAnswer(errRelay) {
+			rows, version, err = relayedRows, relayedVersion, errRelay
 		}
 	}
-	r.newest = max(r.newest, version)
+	r.newestVersion = max(r.newestVersion, version)
 	return rows, version, err
 }
 
-// hasNews reports whether a call that ended with err was answered.
-func hasNews(err error) bool { return err == nil || failure.Is(err, failure.HistoryLost) }
+// isAnswer reports whether a call that ended with err was answered.
+func isAnswer(err error) bool { return err == nil || failure.Is(err, failure.HistoryLost) }
 
-// own reads the store itself, if it is this host's turn.
-func (r *Relayed) own(role Role, read func() ([]Row, int64, error)) ([]Row, int64, error) {
+// readStore reads the store itself if this host may do so now.
+func (r *Relayed) readStore(role Role, read func() ([]Row, int64, error)) ([]Row, int64, error) {
 	if !r.mayRead(time.Now(), role) {
 		return nil, 0, errNotDue
 	}
 	rows, version, err := read()
 	now := time.Now()
-	if !hasNews(err) {
-		r.missed, r.failed = true, now
-		r.lost()
+	if !isAnswer(err) {
+		r.interrupted, r.storeFailedAt = true, now
+		r.onLost()
 		return rows, version, err
 	}
-	r.gap, r.failed = 0, time.Time{}
-	if r.missed {
-		r.gap = now.Sub(r.known)
+	r.gap, r.storeFailedAt = 0, time.Time{}
+	if r.interrupted {
+		r.gap = now.Sub(r.lastAnswer)
 	}
-	r.hear(now, "")
+	r.recordAnswer(now, "")
 	return rows, version, err
 }
 
-// hear notes an answer of the store, or of a reader, whose own word of the store may be older.
-func (r *Relayed) hear(now time.Time, reader string) {
-	r.known, r.answered, r.missed = now, now, false
-	r.following, r.teller = reader != "", reader
+// recordAnswer records an answer of the store, or of a reader, whose own answer of the store
+// may be older.
+func (r *Relayed) recordAnswer(now time.Time, reader string) {
+	r.lastAnswer, r.lastConfirmed, r.interrupted = now, now, false
+	r.following, r.answeredBy = reader != "", reader
 	if r.following {
-		r.answered = now.Add(-staleAfter)
+		r.lastConfirmed = now.Add(-staleAfter)
 	}
 }
 
-// mayRead reports whether this host may read the store: a reader or standby unless the store
-// has just not answered it, another one at a moment drawn so that all of them together keep
-// to ownReadSpread.
+// mayRead reports whether this host may read the store now. A reader or standby may, unless the
+// store recently failed to answer it. A follower may at a random time, chosen so that all
+// followers together keep to followerReadSpacing.
 func (r *Relayed) mayRead(now time.Time, role Role) bool {
 	if role != Follower {
-		return now.Sub(r.failed) >= r.rest()
+		return now.Sub(r.storeFailedAt) >= r.backoff()
 	}
-	turn := time.Duration(r.readers.Hosts()) * ownReadSpread
-	if r.ownRead.IsZero() {
-		r.turns = 1
-		r.ownRead = now.Add(rand.N(turn + 1))
+	round := time.Duration(r.readers.Hosts()) * followerReadSpacing
+	if r.nextOwnRead.IsZero() {
+		r.roundsBetweenReads = 1
+		r.nextOwnRead = now.Add(rand.N(round + 1))
 	}
-	if now.Before(r.ownRead) {
+	if now.Before(r.nextOwnRead) {
 		return false
 	}
-	r.turns = min(mostTurns, 2*r.turns)
-	r.ownRead = now.Add(turn*time.Duration(r.turns)/2 + rand.N(turn+1))
+	r.roundsBetweenReads = min(maxRoundsBetweenReads, 2*r.roundsBetweenReads)
+	r.nextOwnRead = now.Add(round*time.Duration(r.roundsBetweenReads)/2 + rand.N(round+1))
 	return true
 }
 
-// rest is how long the store is left alone after it did not answer. A host that knows nothing
-// yet can serve nobody.
-func (r *Relayed) rest() time.Duration {
-	if r.newest == 0 {
-		return retryBlind
+// backoff returns how long the store is not called after it did not answer. The pause is
+// shorter for a host that has read nothing yet, since it can't serve any request.
+func (r *Relayed) backoff() time.Duration {
+	if r.newestVersion == 0 {
+		return firstReadRetryPause
 	}
-	return ownRest
+	return storeBackoff
 }
 
-// errNotDue is told while neither a relay nor the store may be asked.
-var errNotDue = failure.New(failure.StoreDown, "no reader has news, and it is not this host's turn to read the store")
+// errNotDue is returned when no relay has a fresh answer and the store may not be called yet.
+var errNotDue = failure.New(failure.StoreDown, "no reader has a fresh answer, and it is not this host's turn to read the store")
 
-// relayed asks readers in their order. Any failure but HistoryLost means: none has news.
+// askReaders asks readers in their order. Any failure but HistoryLost means that none has a
+// fresh answer.
 //
-// Guard: a relay may be behind what this host has read. Its table would bring back a server
-// that has left, so it counts as having no news.
-func (r *Relayed) relayed(ctx context.Context, names []string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
+// A relay may be behind what this host has read. Its table could list a server that has already
+// left, so it is treated as stale.
+func (r *Relayed) askReaders(ctx context.Context, names []string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
 	for _, name := range names {
 		if time.Now().Before(r.pauses[name].until) {
 			continue
 		}
 		rows, version, err := r.ask(ctx, name, call, timeout)
-		if err == nil && call.Snapshot && version < r.newest {
+		if err == nil && call.Snapshot && version < r.newestVersion {
 			err = errStale
 		}
-		if hasNews(err) {
-			r.ownRead = time.Time{}
+		if isAnswer(err) {
+			r.nextOwnRead = time.Time{}
 			delete(r.pauses, name)
 			return rows, version, err
 		}
@@ -211,33 +215,34 @@
 	return nil, 0, errStale
 }
 
-// pause is a time in which a reader is not asked.
+// pause is a period in which a reader is not asked.
 type pause struct {
-	until time.Time
-	last  time.Duration
+	until  time.Time
+	length time.Duration
 }
 
-// next is the pause after a further call; answers tells whether the reader answered it.
-func (p pause) next(answers bool) pause {
-	most := unreachablePause
-	if answers {
-		most = noNewsPause
+// next returns the pause after a further failed call; answered reports whether the reader
+// answered it.
+func (p pause) next(answered bool) pause {
+	limit := maxUnreachablePause
+	if answered {
+		limit = maxStalePause
 	}
-	p.last = min(most, max(relayPause, 2*p.last))
-	p.until = time.Now().Add(p.last)
+	p.length = min(limit, max(relayPause, 2*p.length))
+	p.until = time.Now().Add(p.length)
 	return p
 }
 
-// ask makes one call to a reader.
+// ask sends one call to a reader.
 func (r *Relayed) ask(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
-	begun := time.Now()
+	start := time.Now()
 	reply, err := r.exchange(ctx, name, call, timeout)
 	if err == nil {
-		err = failureOf(reply)
+		err = replyError(reply)
 	}
-	held := time.Since(begun) > heldFrom
-	if !hasNews(err) && (held || r.following && r.teller == name) {
-		r.lose()
+	held := time.Since(start) > minHeldCall
+	if !isAnswer(err) && (held || r.following && r.answeredBy == name) {
+		r.readerLost()
 	}
 	if err != nil {
 		return nil, 0, err
@@ -247,52 +252,53 @@
 		return nil, 0, err
 	}
 	now := time.Now()
-	r.gap = r.newGap(name, reply, now)
-	r.hear(now, name)
+	r.gap = r.reportedGap(name, reply, now)
+	r.recordAnswer(now, name)
 	return rows, reply.Version, nil
 }
 
-// failureOf is the failure that a reply tells of.
-func failureOf(reply *wire.TableReply) error {
+// replyError returns the failure in a reply, or nil.
+func replyError(reply *wire.TableReply) error {
 	switch reply.Failure {
 	case "":
 		return nil
 	case string(failure.HistoryLost):
-		return failure.New(failure.HistoryLost, "the relay has dropped the history asked for")
+		return failure.New(failure.HistoryLost, "the relay no longer has the requested history")
 	}
 	return errStale
 }
 
-// lose notes that the reader that was followed has no news any more. It had some until it
-// noticed, or until it was gone.
-func (r *Relayed) lose() {
-	if noticed := time.Now().Add(-relayNotice); noticed.After(r.known) {
-		r.known = noticed
+// readerLost records that the reader that was followed has no fresh answer any more. It had one
+// until it detected the outage, or until it was gone.
+func (r *Relayed) readerLost() {
+	if detected := time.Now().Add(-outageDetectionTime); detected.After(r.lastAnswer) {
+		r.lastAnswer = detected
 	}
-	r.following, r.missed = false, true
-	r.lost()
+	r.following, r.interrupted = false, true
+	r.onLost()
 }
 
-// newGap is the outage that a reader tells of, if it ended since the newest answer. A store
-// that has answered this host or another reader meanwhile was away for that one only.
-func (r *Relayed) newGap(reader string, reply *wire.TableReply, now time.Time) time.Duration {
+// reportedGap returns the length of the outage that a reader reports, if the outage ended after
+// the newest answer. If the store has answered this host or another reader during it, it was
+// unavailable only to that reader.
+func (r *Relayed) reportedGap(reader string, reply *wire.TableReply, now time.Time) time.Duration {
 	if reply.GapMs == 0 {
 		return 0
 	}
 	ended := now.Add(-time.Duration(reply.ReturnedMs) * time.Millisecond)
-	if ended.Sub(r.returned) < outageFrom || ended.Before(r.known.Add(-outageFrom)) {
-		return 0 // told before, within what a message takes and clocks round
+	if ended.Sub(r.lastOutageEnd) < minOutage || ended.Before(r.lastAnswer.Add(-minOutage)) {
+		return 0 // reported before, within message delay and clock rounding
 	}
-	r.returned = ended
+	r.lastOutageEnd = ended
 	gap := time.Duration(reply.GapMs) * time.Millisecond
-	begun := ended.Add(-gap)
-	if r.teller == reader || r.answered.Before(begun.Add(outageFrom)) {
+	start := ended.Add(-gap)
+	if r.answeredBy == reader || r.lastConfirmed.Before(start.Add(minOutage)) {
 		return gap
 	}
-	if !r.missed {
+	if !r.interrupted {
 		return 0
 	}
-	return ended.Sub(r.answered)
+	return ended.Sub(r.lastConfirmed)
 }
 
 func (r *Relayed) exchange(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) (*wire.TableReply, error) {
@@ -314,10 +320,11 @@
 	return reply, err
 }
 
-// leave closes the stream to a host that is not to be asked any more.
-func (r *Relayed) leave(names []string) {
+// dropUnlisted closes the stream to a host that is no longer listed, and deletes the pauses of
+// such hosts.
+func (r *Relayed) dropUnlisted(names []string) {
 	maps.DeleteFunc(r.pauses, func(name string, _ pause) bool { return !slices.Contains(names, name) })
-	if !slices.Contains(names, r.of) {
+	if !slices.Contains(names, r.streamHost) {
 		r.close()
 	}
 }
@@ -326,21 +333,21 @@
 	if r.stream != nil {
 		r.stream.Abort()
 	}
-	r.stream, r.of = nil, ""
+	r.stream, r.streamHost = nil, ""
 }
 
-// connect makes the stream go to a reader.
+// connect opens the stream to a reader unless it is open.
 func (r *Relayed) connect(ctx context.Context, name string) error {
-	if r.stream != nil && r.of == name {
+	if r.stream != nil && r.streamHost == name {
 		return nil
 	}
 	r.close()
-	dial, cancel := context.WithTimeout(ctx, relayDial)
+	dial, cancel := context.WithTimeout(ctx, relayDialTimeout)
 	defer cancel()
 	st, err := r.readers.Open(dial, name)
 	if err != nil {
 		return err
 	}
-	r.stream, r.of = st, name
+	r.stream, r.streamHost = st, name
 	return nil
 }
--- a/internal/store/relays.go
+++ b/internal/store/relays.go
@@ -10,16 +10,16 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Relays are the relays of a host by table.
+// Relays holds the relays of a host by table.
 type Relays struct {
 	mu     sync.Mutex
 	tables map[string]*Relay
 }
 
-// NewRelays makes an empty set.
+// NewRelays returns an empty set.
 func NewRelays() *Relays { return &Relays{tables: map[string]*Relay{}} }
 
-// Table returns the relay of a table, made on first use.
+// Table returns the relay of a table and creates it on first use.
 func (s *Relays) Table(name string) *Relay {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,10 +29,9 @@
 	return s.tables[name]
 }
 
-// Release answers all who wait, after a change of who reads the store first.
-//
-// Guard: a host that becomes the first may still wait at the one before, which now asks
-// the new one in turn. Each would wait for the other, and nobody would read the store.
+// Release ends all waiting calls after the first reader of the store has changed. Without it, a
+// host that becomes the first reader could still wait at its predecessor, which now asks the
+// new one: each would wait for the other, and nobody would read the store.
 func (s *Relays) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,8 +40,8 @@
 	}
 }
 
-// Serve answers the calls of one host until its stream breaks. role tells what this host
-// does for others.
+// Serve answers the calls of one host until its stream breaks. role returns the current role of
+// this host.
 func (s *Relays) Serve(ctx context.Context, st *peer.Stream, role func() Role) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,7 +69,7 @@
 	var err error
 	if call.Snapshot {
 		if role == Reader {
-			relay.awaitFirst(ctx)
+			relay.awaitFirstRead(ctx)
 		}
 		rows, version, err = relay.Snapshot(ctx)
 	} else {
@@ -81,6 +80,6 @@
 	}
 	reply := &wire.TableReply{Version: version}
 	reply.GapMs, reply.ReturnedMs = relay.outage()
-	relay.pack(reply, span{whole: call.Snapshot, after: call.After, newest: version}, rows)
+	relay.pack(reply, rowRange{whole: call.Snapshot, after: call.After, newest: version}, rows)
 	return reply
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,6 @@
-// Package store follows the tables of the platform's store: what the operator
-// configured, which backend servers there are, which entry hosts. The store may
-// be slow, away, cut off from this host, or forget its history; what was read
-// last stays in force meanwhile.
+// Package store follows the tables of the platform's store: the operator's configuration, the
+// backend servers and the entry hosts. The store may be slow, unavailable or partitioned from
+// this host, or may lose its change history; the data read last stays in force meanwhile.
 package store
 
 import (
@@ -21,22 +20,22 @@
 	Deleted bool
 }
 
-// Tables reads tables. Its errors have the codes HistoryLost (Changes must
-// begin with a new Snapshot) and StoreDown.
+// Tables reads tables. Its errors have the codes HistoryLost (the caller must take a new
+// Snapshot before it calls Changes again) and StoreDown.
 type Tables interface {
-	// Snapshot reads a whole table as of one moment, and the version it shows.
+	// Snapshot reads a whole table at one point in time and returns its version.
 	Snapshot(ctx context.Context, table string) ([]Row, int64, error)
-	// Changes waits up to wait for rows changed behind a version and returns
-	// them with the version to go on from.
+	// Changes waits up to wait for rows changed after a version and returns them with the
+	// version to continue from.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]Row, int64, error)
 }
 
-// Origin is implemented by Tables that read through other hosts, and so know more of the
-// newest answer than its caller.
-type Origin interface {
+// AnswerSource is implemented by Tables that read through other hosts, and therefore know more
+// about the newest answer than their caller.
+type AnswerSource interface {
 	// Gap is how long the store had given no answer before the newest one.
 	Gap() time.Duration
-	// Reader is the host whose relay gave the newest answer, empty: the store itself did.
+	// Reader is the host whose relay gave the newest answer, empty for the store itself.
 	Reader() string
 }
 
@@ -53,7 +52,7 @@
 	Value []byte
 }
 
-// Condition is the version that a row must have, 0 when it must not exist.
+// Condition is the version that a row must have, 0 if it must not exist.
 type Condition struct {
 	Table   string
 	Key     string
@@ -62,70 +61,69 @@
 
 // Conditional reads and changes rows that several hosts may write.
 type Conditional interface {
-	// Rows reads a table as of one moment, and the store's own clock.
+	// Rows reads a table at one point in time, and the store's own clock.
 	Rows(ctx context.Context, table string) (rows []Row, now time.Duration, err error)
-	// Commit writes all rows if the condition holds, and nothing else; it fails with
-	// Conflict then. After another failure it may have been done, or be done later.
-	Commit(ctx context.Context, holds Condition, writes ...Write) error
+	// Commit writes all rows if the condition holds. Otherwise it writes none and fails with
+	// Conflict. After any other failure the write may have taken effect, or may do so later.
+	Commit(ctx context.Context, condition Condition, writes ...Write) error
 }
 
 const (
-	// changeWait is how long one call waits for changes. A connection that
-	// has gone silent shows after it, so it stays well under the time within
-	// which a leaving server must be noticed.
+	// changeWait is how long one call waits for changes. A dead connection is detected only
+	// after it, so it stays well below the time within which a leaving server must be noticed.
 	changeWait = 700 * time.Millisecond
-	// RereadStore is how long the store's changes alone are trusted: a feed
-	// that was cut off behind the scenes says nothing. RereadRelay is the same
-	// for the home's relay, which rereads the store itself.
+	// RereadStore is the interval between full reads of the store: a change feed that was cut
+	// off reports no error. RereadRelay is the same for the home's relay, which rereads the
+	// store itself.
 	RereadStore = 10 * time.Second
 	RereadRelay = 60 * time.Second
-	// gatherTime lets changes gather after some came, since each call is paid:
-	// at the start of a fleet, or in a storm of changes, one call brings many.
-	gatherTime = 120 * time.Millisecond
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 1 * time.Second
-	// retryBlind bounds the pause while nothing is known yet: until then the
-	// host can serve nobody.
-	retryBlind = 150 * time.Millisecond
+	// batchDelay is the pause after an answer with changes. Each call is billed, so at the
+	// start of a fleet or in a burst of changes one call should return many.
+	batchDelay    = 120 * time.Millisecond
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 1 * time.Second
+	// firstReadRetryPause is the maximum pause before the first successful read: until then the
+	// host can't serve any request.
+	firstReadRetryPause = 150 * time.Millisecond
 )
 
-// Watcher follows one table. Its goroutine alone calls Apply.
+// Watcher follows one table. Only its own goroutine calls Apply.
 type Watcher struct {
 	Tables Tables
 	Table  string
 	Events *event.Recorder
-	// Reread is how long changes alone are trusted now. It may be nil: always
-	// RereadStore.
+	// Reread returns the current interval between full reads. If it is nil, RereadStore
+	// applies.
 	Reread func() time.Duration
-	// Failed is told when a call fails. It may be nil.
+	// Failed is called when a call fails. It may be nil.
 	Failed func()
 	Apply  func(Update)
 }
 
-// Update is news of a table.
+// Update is an answer to a read of a table.
 type Update struct {
 	Rows    []Row
-	Whole   bool  // Rows are the whole table, not only what changed
-	Version int64 // of the table as it is with this update
-	// Gap is how long the store had given no answer before this one, not even
-	// that nothing changed.
+	Whole   bool  // Rows are the whole table, not only the changes
+	Version int64 // of the table after this update
+	// Gap is how long the store had given no answer before this one, not even an answer without
+	// changes.
 	Gap    time.Duration
-	Reader string // the host that told it, empty: the store itself
+	Reader string // the host that gave the answer, empty for the store itself
 }
 
-// unknownSource is no host's name, nor the store's empty one.
+// unknownSource differs from every host name and from the store's empty name.
 const unknownSource = "?"
 
 // Run follows the table until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	retry := retryFirst
-	down, known, source := false, false, unknownSource
-	newest := time.Now()
+	retryPause := minRetryPause
+	down, hasRead, source := false, false, unknownSource
+	lastAnswer := time.Now()
 	for ctx.Err() == nil {
 		err := w.follow(ctx, func(u Update) {
-			retry, known = retryFirst, true
-			u.Gap, newest = time.Since(newest), time.Now()
-			if origin, ok := w.Tables.(Origin); ok {
+			retryPause, hasRead = minRetryPause, true
+			u.Gap, lastAnswer = time.Since(lastAnswer), time.Now()
+			if origin, ok := w.Tables.(AnswerSource); ok {
 				u.Gap, u.Reader = origin.Gap(), origin.Reader()
 			}
 			if u.Reader != source {
@@ -139,7 +137,7 @@
 			w.Apply(u)
 		})
 		if failure.Is(err, failure.HistoryLost) || ctx.Err() != nil {
-			continue // read anew at once: changes were missed
+			continue // read the table again at once: changes were missed
 		}
 		if w.Failed != nil {
 			w.Failed()
@@ -149,15 +147,15 @@
 			w.Events.Record(event.StoreDown, event.Fields{Detail: "table " + w.Table + ": " + err.Error()})
 		}
 		select {
-		case <-time.After(retry):
+		case <-time.After(retryPause):
 		case <-ctx.Done():
 		}
-		retry = min(retryMost, 2*retry)
+		retryPause = min(maxRetryPause, 2*retryPause)
 		if errors.Is(err, errNotDue) {
-			retry = min(retry, turnLook)
+			retryPause = min(retryPause, turnCheckPeriod)
 		}
-		if !known {
-			retry = min(retry, retryBlind)
+		if !hasRead {
+			retryPause = min(retryPause, firstReadRetryPause)
 		}
 	}
 }
@@ -169,28 +167,27 @@
 	return w.Reread()
 }
 
-// follow reads the table and its changes until a call fails, or the table is
-// due to be read anew.
-func (w *Watcher) follow(ctx context.Context, answered func(Update)) error {
+// follow reads the table and its changes until a call fails or the next full read is due.
+func (w *Watcher) follow(ctx context.Context, onAnswer func(Update)) error {
 	rows, version, err := w.Tables.Snapshot(ctx, w.Table)
 	if err != nil {
 		return err
 	}
-	answered(Update{Rows: rows, Whole: true, Version: version})
-	for read := time.Now(); time.Since(read) < w.reread(); {
+	onAnswer(Update{Rows: rows, Whole: true, Version: version})
+	for lastRead := time.Now(); time.Since(lastRead) < w.reread(); {
 		rows, version, err = w.Tables.Changes(ctx, w.Table, version, changeWait)
 		if err != nil {
 			return err
 		}
-		// Without rows it still tells that the store answers.
-		answered(Update{Rows: rows, Version: version})
+		// An answer without rows still shows that the store is available.
+		onAnswer(Update{Rows: rows, Version: version})
 		if len(rows) == 0 {
 			continue
 		}
 		select {
-		case <-time.After(gatherTime):
+		case <-time.After(batchDelay):
 		case <-ctx.Done():
 		}
 	}
-	return failure.New(failure.HistoryLost, "the table is due to be read anew")
+	return failure.New(failure.HistoryLost, "the table is due for a full read")
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,33 +20,34 @@
 	RunSpecs(t, "store")
 }
 
-// script answers calls in order; the last step repeats. mu guards the fields.
-type script struct {
+// scriptedTables answers calls with scripted answers in order; afterwards Changes returns no
+// rows after the wait. mu guards the fields.
+type scriptedTables struct {
 	mu        sync.Mutex
 	snapshots int
-	changes   []step
+	answers   []scriptedAnswer
 }
 
-// step is one answer of Changes, after a pause.
-type step struct {
+// scriptedAnswer is one answer of Changes, after a pause.
+type scriptedAnswer struct {
 	pause time.Duration
 	rows  []store.Row
 	err   error
 }
 
-func (s *script) Snapshot(context.Context, string) ([]store.Row, int64, error) {
+func (s *scriptedTables) Snapshot(context.Context, string) ([]store.Row, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshots++
 	return []store.Row{{Key: "a", Version: 1}}, 1, nil
 }
 
-func (s *script) Changes(ctx context.Context, _ string, after int64, wait time.Duration) ([]store.Row, int64, error) {
+func (s *scriptedTables) Changes(ctx context.Context, _ string, after int64, wait time.Duration) ([]store.Row, int64, error) {
 	s.mu.Lock()
-	next := step{pause: wait}
-	if len(s.changes) > 0 {
-		next = s.changes[0]
-		s.changes = s.changes[1:]
+	next := scriptedAnswer{pause: wait}
+	if len(s.answers) > 0 {
+		next = s.answers[0]
+		s.answers = s.answers[1:]
 	}
 	s.mu.Unlock()
 	select {
@@ -57,7 +58,7 @@
 	return next.rows, after + 1, next.err
 }
 
-func follow(s *script) <-chan store.Update {
+func startWatcher(s *scriptedTables) <-chan store.Update {
 	updates := make(chan store.Update, 64)
 	w := &store.Watcher{
 		Tables: s, Table: "t", Events: event.NewRecorder("h", "i", 16, log.NewNopLogger()),
@@ -70,17 +71,16 @@
 }
 
 var _ = Describe("following a table", func() {
-	// A server leaves after minutes in which nothing changed. Its removal came
-	// with a long silence before it, was taken for the lapse of an entry during
-	// an outage, and the server went on being used for two more seconds.
-	// Cause: the silence was counted between changes, not between answers.
+	// A server leaves after minutes without changes. The time since the last change, instead of
+	// since the last answer, was counted as an outage of the store, so its removal was taken
+	// for an entry that expired in the outage, and the server was used for two more seconds.
 	It("counts answers without changes as answers", func() {
 		const quiet = 50 * time.Millisecond
-		steps := make([]step, 0, 9)
+		quietAnswers := make([]scriptedAnswer, 0, 9)
 		for range 8 {
-			steps = append(steps, step{pause: quiet})
+			quietAnswers = append(quietAnswers, scriptedAnswer{pause: quiet})
 		}
-		updates := follow(&script{changes: append(steps, step{pause: quiet, rows: []store.Row{{Key: "a", Deleted: true}}})})
+		updates := startWatcher(&scriptedTables{answers: append(quietAnswers, scriptedAnswer{pause: quiet, rows: []store.Row{{Key: "a", Deleted: true}}})})
 		Eventually(updates).Should(Receive(HaveField("Whole", true)))
 		var removal store.Update
 		Eventually(func() []store.Row {
@@ -93,19 +93,19 @@
 		Expect(removal.Gap).To(BeNumerically("<", 6*quiet))
 	})
 
-	// The store drops its history just as a server leaves, and the call that
-	// waits for changes fails. What changed in between shows in the table only.
-	It("reads the table anew at once when the history is lost", func() {
-		s := &script{changes: []step{{err: failure.New(failure.HistoryLost, "dropped")}}}
-		updates := follow(s)
+	// The store drops its history just as a server leaves, and the call that waits for changes
+	// fails. Only a read of the whole table shows what changed in between.
+	It("reads the whole table at once when the history is lost", func() {
+		s := &scriptedTables{answers: []scriptedAnswer{{err: failure.New(failure.HistoryLost, "dropped")}}}
+		updates := startWatcher(s)
 		for range 2 {
 			Eventually(updates).Should(Receive(HaveField("Whole", true)))
 		}
 	})
 
-	It("tells how long the store was away", func() {
-		s := &script{changes: []step{{pause: 80 * time.Millisecond, err: failure.New(failure.StoreDown, "away")}}}
-		updates := follow(s)
+	It("returns the length of the store's outage", func() {
+		s := &scriptedTables{answers: []scriptedAnswer{{pause: 80 * time.Millisecond, err: failure.New(failure.StoreDown, "away")}}}
+		updates := startWatcher(s)
 		Eventually(updates).Should(Receive())
 		Eventually(updates).Should(Receive(HaveField("Gap", BeNumerically(">=", 80*time.Millisecond))))
 	})
