--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim inserts the rows that make a non-idempotent request run at
-// most once even when its holder and the home of its service die together:
-// no host dispatches such a request before its own row is in the table
-// service. Rows of many requests are inserted in one call, because the table
-// takes several hundred writes a second in all.
+// Package claim inserts claim rows into the table service. They ensure that a non-idempotent
+// request runs at most once even if its holder and the home of its service fail together: no
+// host dispatches such a request before its own row is in the table. Rows of many requests are
+// inserted in one call, because the table service takes only several hundred writes a second in
+// total.
 package claim
 
 import (
@@ -18,94 +18,95 @@
 )
 
 const (
-	queueSize   = 1024
-	groupSize   = 64
-	retryPause  = 50 * time.Millisecond
-	releaseLife = 30 * time.Second
-	// A row that is not ours is looked at so often before a release ends.
-	releaseLooks = 3
-	releaseWait  = 1 * time.Second
+	queueSize      = 1024
+	groupSize      = 64
+	retryPause     = 50 * time.Millisecond
+	releaseTimeout = 30 * time.Second
+	// releaseChecks is how often Release must find no row of its own before it ends,
+	// releaseWait the time between these checks.
+	releaseChecks = 3
+	releaseWait   = 1 * time.Second
 )
 
 // Owner is the value of a claim row.
 type Owner struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
-	Token       ident.RequestID   `json:"token"` // unique for each claim
+	Token       ident.RequestID   `json:"token"` // unique per claim
 	Server      ident.ServerID    `json:"server"`
-	Expires     time.Time         `json:"expires"` // the platform's clean-up goes by it
+	Expires     time.Time         `json:"expires"` // used by the platform's clean-up
 }
 
-// Result is the outcome of a claim. Err is set when the outcome is not
-// known: then the request must not be dispatched.
+// Result is the outcome of a claim. Err is set if the outcome is unknown; the request must not
+// be dispatched then.
 type Result struct {
 	Won     bool
-	Owner   Owner  // of the row, when another one has it
-	Version uint64 // of the row, for Takeover
+	Owner   Owner  // of the row, if another claim holds it
+	Version uint64 // of the row, for a takeover
 	Err     error
 }
 
-type ask struct {
+type pendingClaim struct {
 	ctx       context.Context
 	id        ident.RequestID
-	mine      Owner
+	claimant  Owner
 	ifVersion uint64
 	done      chan Result
 }
 
-// Claimer is the duty that groups the inserts of one host.
+// Claimer groups the inserts of one host.
 type Claimer struct {
 	table  platform.Table
 	events *event.Recorder
-	asks   *ring.Ring[*ask]
+	queue  *ring.Ring[*pendingClaim]
 }
 
-// New makes a claimer; Run starts it.
+// New returns a claimer; Run must be started for it to work.
 func New(table platform.Table, events *event.Recorder) *Claimer {
-	return &Claimer{table: table, events: events, asks: ring.New[*ask](queueSize)}
+	return &Claimer{table: table, events: events, queue: ring.New[*pendingClaim](queueSize)}
 }
 
-// Key names the row of an id.
+// Key returns the key of the row of a request.
 func Key(id ident.RequestID) string { return "claim/" + id.String() }
 
-// Claim inserts the row of id, or replaces the version ifVersion of it (0:
-// there must be none). It answers when the outcome is known or ctx ends.
-func (c *Claimer) Claim(ctx context.Context, id ident.RequestID, mine Owner, ifVersion uint64) Result {
-	a := &ask{ctx: ctx, id: id, mine: mine, ifVersion: ifVersion, done: make(chan Result, 1)}
-	if !c.asks.TryPush(a) {
+// Claim inserts the row of id, or replaces its version ifVersion (0: there must be no row). It
+// returns when the outcome is known or ctx ends.
+func (c *Claimer) Claim(ctx context.Context, id ident.RequestID, claimant Owner, ifVersion uint64) Result {
+	p := &pendingClaim{ctx: ctx, id: id, claimant: claimant, ifVersion: ifVersion, done: make(chan Result, 1)}
+	if !c.queue.TryPush(p) {
 		return Result{Err: failure.New(failure.RingFull, "%d claims wait", queueSize)}
 	}
 	select {
-	case r := <-a.done:
+	case r := <-p.done:
 		return r
 	case <-ctx.Done():
 		return Result{Err: failure.Wrap(failure.StoreDown, ctx.Err(), "claim of %s", id)}
 	}
 }
 
-// Run inserts groups until ctx ends. Groups go out one after another: while
-// one is on its way the next one gathers.
+// Run inserts groups until ctx ends, one at a time: while one call is in flight, the next group
+// collects.
 func (c *Claimer) Run(ctx context.Context) {
-	var waiting []*ask
+	var pending []*pendingClaim
 	for {
-		waiting = c.asks.Drain(waiting)
-		if len(waiting) == 0 {
+		pending = c.queue.Drain(pending)
+		if len(pending) == 0 {
 			select {
-			case <-c.asks.Ready():
+			case <-c.queue.Ready():
 				continue
 			case <-ctx.Done():
 				return
 			}
 		}
-		n := min(groupSize, len(waiting))
-		again := c.insert(ctx, waiting[:n])
-		waiting = append(again, waiting[n:]...)
-		if len(again) > 0 && !pause(ctx, retryPause) {
+		n := min(groupSize, len(pending))
+		retries := c.insert(ctx, pending[:n])
+		pending = append(retries, pending[n:]...)
+		if len(retries) > 0 && !sleep(ctx, retryPause) {
 			return
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -114,98 +115,96 @@
 	}
 }
 
-// insert sends one group and returns the asks that must be tried again.
-func (c *Claimer) insert(ctx context.Context, group []*ask) []*ask {
+// insert sends one group and returns the claims to retry.
+func (c *Claimer) insert(ctx context.Context, group []*pendingClaim) []*pendingClaim {
 	writes := make([]platform.Write, 0, len(group))
-	live := group[:0:0]
-	for _, a := range group {
-		value, err := json.Marshal(a.mine)
-		if err != nil || a.ctx.Err() != nil {
+	active := group[:0:0]
+	for _, p := range group {
+		value, err := json.Marshal(p.claimant)
+		if err != nil || p.ctx.Err() != nil {
 			continue
 		}
-		writes = append(writes, platform.Write{Key: Key(a.id), Value: value, IfVersion: a.ifVersion})
-		live = append(live, a)
+		writes = append(writes, platform.Write{Key: Key(p.id), Value: value, IfVersion: p.ifVersion})
+		active = append(active, p)
 	}
-	if len(live) == 0 {
+	if len(active) == 0 {
 		return nil
 	}
 	results, err := c.table.Apply(ctx, writes)
 	if err != nil {
-		return c.settle(ctx, live)
+		return c.readBack(ctx, active)
 	}
-	for i, a := range live {
-		a.done <- judge(a, results[i].Row)
+	for i, p := range active {
+		p.done <- resultOf(p, results[i].Row)
 	}
 	return nil
 }
 
-// settle reads back the rows of a group whose answer was lost.
+// readBack reads the rows of a group whose answer was lost.
 //
-// Guard: the insert may have taken effect without our knowing. Inserting
-// again under a new token would find our own row and call the request taken;
-// dispatching without knowing could run it twice. The row tells by its
-// token. Only a row that is not there is inserted again, under the same
-// token, so it does not matter if the first insert still arrives.
-func (c *Claimer) settle(ctx context.Context, group []*ask) []*ask {
-	var again []*ask
-	for _, a := range group {
-		if a.ctx.Err() != nil {
+// The insert may have taken effect. Inserting again under a new token would find this host's
+// own row and treat the request as claimed by another host; dispatching without knowing could
+// run it twice. The token in the row decides. Only a missing row is inserted again, under the
+// same token, so a late arrival of the first insert does no harm.
+func (c *Claimer) readBack(ctx context.Context, group []*pendingClaim) []*pendingClaim {
+	var retries []*pendingClaim
+	for _, p := range group {
+		if p.ctx.Err() != nil {
 			continue
 		}
-		c.events.Record(event.ClaimInDoubt, event.Fields{Request: a.id.String()})
-		row, err := c.table.Get(ctx, Key(a.id))
-		if err != nil || row.Version == a.ifVersion {
-			again = append(again, a)
+		c.events.Record(event.ClaimInDoubt, event.Fields{Request: p.id.String()})
+		row, err := c.table.Get(ctx, Key(p.id))
+		if err != nil || row.Version == p.ifVersion {
+			retries = append(retries, p)
 			continue
 		}
-		a.done <- judge(a, row)
+		p.done <- resultOf(p, row)
 	}
-	return again
+	return retries
 }
 
-func judge(a *ask, row platform.Row) Result {
+func resultOf(p *pendingClaim, row platform.Row) Result {
 	var owner Owner
 	if err := json.Unmarshal(row.Value, &owner); err != nil {
-		return Result{Err: failure.Wrap(failure.StoreDown, err, "claim row of %s", a.id)}
+		return Result{Err: failure.Wrap(failure.StoreDown, err, "claim row of %s", p.id)}
 	}
-	return Result{Won: owner.Token == a.mine.Token, Owner: owner, Version: row.Version}
+	return Result{Won: owner.Token == p.claimant.Token, Owner: owner, Version: row.Version}
 }
 
-// Release deletes the row of a claim that was not used, for as long as it is
-// ours. It tries for releaseLife and gives up then: a row that stays makes a
-// later resend ask this host, which knows that nothing ran.
+// Release deletes the row of a claim that was not used, while it is this host's. It gives up
+// after releaseTimeout: a row that remains makes a later resend ask this host, which knows that
+// nothing ran.
 //
-// Guard: the insert may still be on its way when the claim is given up, and
-// arrive after a first look found nothing to delete; the row would then block
-// its key. So the row is looked at again a few times.
-func (c *Claimer) Release(ctx context.Context, id ident.RequestID, mine Owner) {
-	ctx, cancel := context.WithTimeout(ctx, releaseLife)
+// The insert may still be in flight when the claim is given up, and arrive after the first
+// check found nothing to delete. The row would then block its key, so it is checked several
+// times.
+func (c *Claimer) Release(ctx context.Context, id ident.RequestID, claimant Owner) {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	for looks := 0; looks < releaseLooks; {
-		ours, err := c.deleteOurs(ctx, id, mine)
-		if err == nil && ours {
+	for checks := 0; checks < releaseChecks; {
+		deleted, err := c.deleteOwn(ctx, id, claimant)
+		if err == nil && deleted {
 			return
 		}
 		wait := retryPause
 		if err == nil {
-			looks++
+			checks++
 			wait = releaseWait
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return
 		}
 	}
 }
 
-// deleteOurs deletes the row if it carries our token; ours tells whether it
-// did.
-func (c *Claimer) deleteOurs(ctx context.Context, id ident.RequestID, mine Owner) (ours bool, err error) {
+// deleteOwn deletes the row if it carries the token of claimant, and reports whether it did.
+func (c *Claimer) deleteOwn(ctx context.Context, id ident.RequestID, claimant Owner) (deleted bool, err error) {
 	row, err := c.table.Get(ctx, Key(id))
 	if err != nil {
 		return false, err
 	}
 	var owner Owner
-	if json.Unmarshal(row.Value, &owner) != nil || owner.Token != mine.Token {
+	if json.Unmarshal(row.Value, &owner) != nil || owner.Token != claimant.Token {
 		return false, nil
 	}
 	_, err = c.table.Apply(ctx, []platform.Write{{Key: Key(id), IfVersion: row.Version, Delete: true}})
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -28,24 +28,23 @@
 }
 
 var _ = Describe("a release", func() {
-	// Story: a claim is given up while its insert is still on its way. The
-	// release finds no row, the insert arrives after it, and the pickup's key
-	// is blocked for a day. Cause: two calls that overtake each other.
-	It("deletes a row that arrives after its first look", func() {
+	// A claim is given up while its insert is still in flight. If the insert arrives after
+	// Release has found no row, the key of the request is blocked for a day.
+	It("deletes a row that arrives after its first check", func() {
 		p := standin.NewPlatform(0)
 		server := httptest.NewServer(p.Handler())
 		DeferCleanup(server.Close)
 		client := httpplatform.New(server.URL, nil, time.Second)
 		DeferCleanup(client.Close)
 		c := claim.New(client, event.NewRecorder("h", "1", 10, log.NewNopLogger()))
-		id, mine := ident.Keyed("a", "k"), claim.Owner{Incarnation: 1, Token: ident.Mint(1)}
+		id, claimant := ident.Keyed("a", "k"), claim.Owner{Incarnation: 1, Token: ident.Mint(1)}
 		released := make(chan struct{})
 		go func() {
 			defer close(released)
-			c.Release(context.Background(), id, mine)
+			c.Release(context.Background(), id, claimant)
 		}()
-		time.Sleep(200 * time.Millisecond) // the first look is over
-		value, err := json.Marshal(mine)
+		time.Sleep(200 * time.Millisecond) // the first check is over
+		value, err := json.Marshal(claimant)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = client.Apply(context.Background(), []platform.Write{{Key: claim.Key(id), Value: value}})
 		Expect(err).NotTo(HaveOccurred())
@@ -55,9 +54,9 @@
 })
 
 var _ = Describe("claims of many hosts for the same keys", func() {
-	// Story: hosts claim the same pickups at once while the table loses
-	// answers or is slow. Each key must have one winner, whoever is asked.
-	// Cause: an insert whose answer was lost looks like one that was refused.
+	// Hosts claim the same keys at once while the table service loses answers or is slow. Each
+	// key must have exactly one winner, whichever host is asked. An insert whose answer was
+	// lost must not be taken for one that was refused.
 	DescribeTable("are linearizable", func(faults standin.PlatformFaults) {
 		p := standin.NewPlatform(0)
 		server := httptest.NewServer(p.Handler())
@@ -66,21 +65,21 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var mu sync.Mutex
 		var ops []history.ClaimOp
-		var duties, calls sync.WaitGroup
+		var claimers, calls sync.WaitGroup
 		for host := range 4 {
-			inc := ident.Incarnation(host + 1)
+			incarnation := ident.Incarnation(host + 1)
 			client := httpplatform.New(server.URL, nil, time.Second)
-			c := claim.New(client, event.NewRecorder("h", inc.String(), 100, log.NewNopLogger()))
-			duties.Go(func() { c.Run(ctx) })
+			c := claim.New(client, event.NewRecorder("h", incarnation.String(), 100, log.NewNopLogger()))
+			claimers.Go(func() { c.Run(ctx) })
 			for k := range 25 {
 				calls.Go(func() {
 					id := ident.Keyed("a", fmt.Sprint(k))
-					mine := claim.Owner{Incarnation: inc, Token: ident.Mint(inc)}
+					claimant := claim.Owner{Incarnation: incarnation, Token: ident.Mint(incarnation)}
 					limit, stop := context.WithTimeout(ctx, 5*time.Second)
 					defer stop()
 					begin := time.Now().UnixNano()
-					r := c.Claim(limit, id, mine, 0)
-					op := history.ClaimOp{Client: host*100 + k, Call: begin, Return: time.Now().UnixNano(), Key: id.String(), Token: mine.Token.String(), Won: r.Won, Unknown: r.Err != nil}
+					r := c.Claim(limit, id, claimant, 0)
+					op := history.ClaimOp{Client: host*100 + k, Call: begin, Return: time.Now().UnixNano(), Key: id.String(), Token: claimant.Token.String(), Won: r.Won, Unknown: r.Err != nil}
 					if op.Unknown {
 						op.Return = begin + int64(time.Hour)
 					}
@@ -92,7 +91,7 @@
 		}
 		calls.Wait()
 		cancel()
-		duties.Wait()
+		claimers.Wait()
 		Expect(history.ClaimsLinearizable(ops)).To(BeTrue())
 		won := 0
 		for _, op := range ops {
@@ -102,7 +101,7 @@
 		}
 		Expect(won).To(Equal(25))
 	},
-		Entry("on a sound table", standin.PlatformFaults{}),
+		Entry("on a table without faults", standin.PlatformFaults{}),
 		Entry("with lost answers", standin.PlatformFaults{LoseAnswers: 6}),
 		Entry("on a slow table", standin.PlatformFaults{SlowMS: 100}),
 	)
