--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,12 +1,11 @@
-// Package order brings backend servers to the state that the inventory wants
-// (models, adapters, versions, role). Only the holder of a service's lease
-// gives orders, each under the lease's fencing number.
+// Package order brings backend servers to the state that the inventory specifies (models,
+// adapters, versions, role). Only the holder of a service's lease sends orders, each with the
+// lease's fencing number.
 //
-// Servers that check the number refuse the order of an earlier holder. Those
-// that ignore it take an order that was late on its way; orders therefore
-// state a wanted end state, and the holder reads back every round and repairs
-// what differs. Between such a late order and the next round the server is in
-// the older state: at most Period plus one call.
+// Servers that check the number refuse the order of an earlier holder. Servers that ignore it
+// accept an order that was delayed in flight; orders therefore state the desired end state, and
+// the holder reads it back every round and repairs differences. Between such a delayed order
+// and the next round the server is in the older state, for at most Period plus one call.
 package order
 
 import (
@@ -22,37 +21,37 @@
 // Period is the time between two rounds.
 const Period = 1 * time.Second
 
-// Orderer is the order side of one backend server.
+// Orderer reads and sets the state of one backend server.
 type Orderer interface {
-	// State reads the state that the server is in.
+	// State reads the current state of the server.
 	State(ctx context.Context) (string, error)
-	// Order asks for a state. It fails with StaleFence when the server has
-	// seen a higher number.
+	// Order sets a state. It fails with StaleFence if the server has seen a higher fencing
+	// number.
 	Order(ctx context.Context, fence uint64, state string) error
 }
 
-// Wish is the state that the inventory wants of a server.
+// Wish is the desired state of a server according to the inventory.
 type Wish struct {
 	Server  string
 	State   string
 	Orderer Orderer
 }
 
-// Giver gives the orders of one service. One goroutine owns it.
+// Giver sends the orders of one service. It is used by one goroutine.
 type Giver struct {
-	service string
-	lease   *lease.Lease
-	events  *event.Recorder
-	given   map[ident.ServerID]string // the state last ordered, by server
+	service     string
+	lease       *lease.Lease
+	events      *event.Recorder
+	lastOrdered map[ident.ServerID]string // state last ordered, by server
 }
 
-// NewGiver makes a giver under a lease.
+// NewGiver returns a giver that sends orders under a lease.
 func NewGiver(service string, l *lease.Lease, events *event.Recorder) *Giver {
-	return &Giver{service: service, lease: l, events: events, given: map[ident.ServerID]string{}}
+	return &Giver{service: service, lease: l, events: events, lastOrdered: map[ident.ServerID]string{}}
 }
 
-// Round renews the lease and compares every server with its wish. Without
-// the lease it does nothing.
+// Round renews the lease and compares every server with its desired state. Without the lease it
+// does nothing.
 func (g *Giver) Round(ctx context.Context, wishes []Wish) {
 	if len(wishes) == 0 {
 		return
@@ -62,22 +61,22 @@
 		return
 	}
 	for _, w := range wishes {
-		g.one(ctx, w)
+		g.reconcile(ctx, w)
 	}
 }
 
-func (g *Giver) one(ctx context.Context, w Wish) {
+func (g *Giver) reconcile(ctx context.Context, w Wish) {
 	state, err := w.Orderer.State(ctx)
 	if err != nil || state == w.State {
 		return
 	}
 	id := ident.Server(w.Server)
 	f := event.Fields{Service: g.service, Server: w.Server, Detail: w.State}
-	if g.given[id] == w.State {
+	if g.lastOrdered[id] == w.State {
 		f.Detail = state + " instead of " + w.State
 		g.events.Record(event.OrderRepaired, f)
 	}
-	// Checked right before the order: the read above may have taken long, or
+	// The lease is checked right before the order: reading the state may have taken long, or
 	// this process may have been paused since the round began.
 	fence, ok := g.lease.Held()
 	if !ok {
@@ -88,7 +87,7 @@
 	case failure.Is(err, failure.StaleFence):
 		g.events.Record(event.OrderRefused, f)
 	case err == nil:
-		g.given[id] = w.State
+		g.lastOrdered[id] = w.State
 		g.events.Record(event.OrderSent, f)
 	}
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "order")
 }
 
-// table is one row of a table service with its faults.
+// table is one row of a table service with injected faults.
 type table struct {
 	row        platform.Row
 	loseAnswer bool
@@ -51,21 +51,21 @@
 	return []platform.WriteResult{{Done: done, Row: t.row}}, nil
 }
 
-// engine takes orders; hold delays the delivery of the next one until
-// deliver, as a pause of the sender or the network does.
+// engine accepts orders; hold delays the delivery of the next order until late is called, as a
+// pause of the sender or a slow network would.
 type engine struct {
-	checks bool
-	fence  uint64
-	state  string
-	hold   bool
-	late   func() error
+	checksFence bool
+	fence       uint64
+	state       string
+	hold        bool
+	late        func() error
 }
 
 func (e *engine) State(context.Context) (string, error) { return e.state, nil }
 
 func (e *engine) Order(_ context.Context, fence uint64, state string) error {
 	deliver := func() error {
-		if e.checks && fence < e.fence {
+		if e.checksFence && fence < e.fence {
 			return failure.New(failure.StaleFence, "old")
 		}
 		e.fence, e.state = max(e.fence, fence), state
@@ -83,34 +83,34 @@
 		now    time.Time
 		t      *table
 		events *event.Recorder
-		giver  func(inc ident.Incarnation) *order.Giver
+		giver  func(incarnation ident.Incarnation) *order.Giver
 		leases map[ident.Incarnation]*lease.Lease
 	)
 	BeforeEach(func() {
 		now, t = time.Unix(1000, 0), &table{}
 		events = event.NewRecorder("a", "1", 100, log.NewNopLogger())
 		leases = map[ident.Incarnation]*lease.Lease{}
-		giver = func(inc ident.Incarnation) *order.Giver {
-			leases[inc] = lease.New("svc", inc, t, events, func() time.Time { return now })
-			return order.NewGiver("svc", leases[inc], events)
+		giver = func(incarnation ident.Incarnation) *order.Giver {
+			leases[incarnation] = lease.New("svc", incarnation, t, events, func() time.Time { return now })
+			return order.NewGiver("svc", leases[incarnation], events)
 		}
 	})
 	wish := func(e *engine, state string) []order.Wish {
 		return []order.Wish{{Server: "engine-1", State: state, Orderer: e}}
 	}
 	ctx := context.Background()
-	// takeOver runs the rounds of a second host until it holds the lease.
+	// takeOver runs rounds of a second host until it holds the lease.
 	takeOver := func(g *order.Giver, e *engine, state string) {
 		g.Round(ctx, wish(e, state))
 		now = now.Add(lease.TTL + lease.Margin + time.Millisecond)
 		g.Round(ctx, wish(e, state))
 	}
 
-	// Story: the holder is paused between its last look at the lease and the
-	// order on the wire. Another host takes over and orders the new model; the
-	// old order arrives after it. Cause: no check can be atomic with a send.
-	It("refuses the late order of an old holder at a checking engine", func() {
-		e := &engine{checks: true, hold: true}
+	// The holder is paused between its last check of the lease and the sending of the order,
+	// which can't be atomic. Another host takes over and orders the new model, and the old
+	// order arrives afterwards.
+	It("refuses a delayed order of an old holder at an engine that checks the fencing number", func() {
+		e := &engine{checksFence: true, hold: true}
 		giver(1).Round(ctx, wish(e, "old-model"))
 		takeOver(giver(2), e, "new-model")
 		Expect(e.state).To(Equal("new-model"))
@@ -118,22 +118,22 @@
 		Expect(e.state).To(Equal("new-model"))
 	})
 
-	It("repairs an engine that ignores the number, in the next round", func() {
+	It("repairs an engine that ignores the fencing number in the next round", func() {
 		e := &engine{hold: true}
 		giver(1).Round(ctx, wish(e, "old-model"))
 		second := giver(2)
 		takeOver(second, e, "new-model")
 		Expect(e.late()).To(Succeed())
-		Expect(e.state).To(Equal("old-model"), "nothing can stop this")
+		Expect(e.state).To(Equal("old-model"), "an engine that ignores the number accepts the delayed order")
 		now = now.Add(order.Period)
 		second.Round(ctx, wish(e, "new-model"))
 		Expect(e.state).To(Equal("new-model"))
 		Expect(events.Events(event.Filter{Server: "engine-1"})).To(ContainElement(HaveField("Code", event.OrderRepaired)))
 	})
 
-	// Story: the holder is paused for longer than its lease and wakes. It must
-	// see by its own clock that the lease lapsed, before the store says so.
-	It("gives no order after a pause in which the lease lapsed", func() {
+	// The holder is paused for longer than its lease. When it resumes it must see by its own
+	// clock that the lease has expired, before the store reports it.
+	It("sends no order after a pause in which the lease expired", func() {
 		e := &engine{}
 		first := giver(1)
 		first.Round(ctx, wish(e, "a"))
@@ -145,15 +145,15 @@
 		Expect(e.state).To(Equal("a"))
 	})
 
-	It("counts a hold from before the call", func() {
-		l := lease.New("svc", 1, &slowTable{table: t, pass: func() { now = now.Add(3 * time.Second) }}, events, func() time.Time { return now })
+	It("counts the lease time from before the call", func() {
+		l := lease.New("svc", 1, &slowTable{table: t, advance: func() { now = now.Add(3 * time.Second) }}, events, func() time.Time { return now })
 		_, err := l.Try(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		_, held := l.Held()
 		Expect(held).To(BeFalse(), "the calls took longer than the lease lasts")
 	})
 
-	It("knows its own write although the answer was lost", func() {
+	It("recognizes its own write after the answer was lost", func() {
 		t.loseAnswer = true
 		giver(1)
 		held, err := leases[1].Try(ctx)
@@ -161,7 +161,7 @@
 		Expect(held).To(BeTrue())
 	})
 
-	It("gives each holder a higher number, and itself after a lapse", func() {
+	It("gives a higher number to each new holder, and to the same holder after expiry", func() {
 		giver(1)
 		giver(2)
 		_, _ = leases[1].Try(ctx)
@@ -179,18 +179,18 @@
 	})
 })
 
-// slowTable lets time pass in each call.
+// slowTable advances the clock in each call.
 type slowTable struct {
 	*table
-	pass func()
+	advance func()
 }
 
 func (s *slowTable) Get(ctx context.Context, k string) (platform.Row, error) {
-	s.pass()
+	s.advance()
 	return s.table.Get(ctx, k)
 }
 
 func (s *slowTable) Apply(ctx context.Context, w []platform.Write) ([]platform.WriteResult, error) {
-	s.pass()
+	s.advance()
 	return s.table.Apply(ctx, w)
 }
