--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -15,24 +15,23 @@
 
 // Proposal is an operator's change.
 type Proposal struct {
-	Base     uint64 `json:"base"`      // the version it was made from
-	ChangeID string `json:"change_id"` // unique; settles lost answers
+	Base     uint64 `json:"base"`      // the version that it is based on
+	ChangeID string `json:"change_id"` // unique; identifies the change after a lost answer
 	Author   string `json:"author"`
 	Text     []byte `json:"text"`
 }
 
-// doubtPause is the wait between two looks at the row after a lost answer.
-const doubtPause = 100 * time.Millisecond
+// outcomeRetryPause is the pause between two attempts while the outcome of a change is unknown.
+const outcomeRetryPause = 100 * time.Millisecond
 
 func versionDetail(version uint64, changeID string) string {
 	return fmt.Sprintf("version %d change %s", version, changeID)
 }
 
-// Apply checks a proposal and makes it the newest version. It returns the
-// accepted change; a repeated call with the same change id returns the same
-// change. It fails with Conflict when another change came first, and with
-// StoreDown when ctx ends before the outcome is known: then the change may
-// have been accepted, and the same call tells later.
+// Apply validates a proposal and makes it the newest version. It returns the accepted change; a
+// repeated call with the same change id returns the same change. It fails with Conflict if
+// another change came first, and with StoreDown if ctx ends before the outcome is known: the
+// change may have been accepted then, and a repeated call returns the outcome.
 func (s *Syncer) Apply(ctx context.Context, p Proposal) (Change, error) {
 	if p.ChangeID == "" {
 		return Change{}, failure.New(failure.BadRequest, "a change needs a change id")
@@ -45,43 +44,43 @@
 		return Change{}, err
 	}
 	for {
-		change, settled, err := s.try(ctx, p, object)
-		if settled {
+		change, known, err := s.try(ctx, p, object)
+		if known {
 			return change, err
 		}
 		s.events.Record(event.ConfigInDoubt, event.Fields{Detail: p.ChangeID + ": " + err.Error()})
 		select {
-		case <-time.After(doubtPause):
+		case <-time.After(outcomeRetryPause):
 		case <-ctx.Done():
 			return Change{}, failure.Wrap(failure.StoreDown, err, "change %s is in doubt; ask again with the same change id", p.ChangeID)
 		}
 	}
 }
 
-// try reads the row and writes it once.
+// try reads the version row and writes it once.
 //
-// Guard: a write whose answer was lost may have taken effect, so a second
-// write could meet its own first one and report a conflict that is none. The
-// row is read before each write and names the newest changes: when ours is
-// among them it was accepted, whatever came after it.
+// A write whose answer was lost may have taken effect, so a second write could fail on the
+// first one and report a false conflict. Therefore the row, which lists the newest changes, is
+// read before each write: if this change is among them it was accepted, regardless of later
+// changes.
 func (s *Syncer) try(ctx context.Context, p Proposal, object string) (Change, bool, error) {
 	row, err := s.table.Get(ctx, rowKey)
 	if err != nil {
 		return Change{}, false, err
 	}
-	ptr, err := decodePointer(row.Value)
+	current, err := decodeVersionRow(row.Value)
 	if err != nil {
 		return Change{}, true, err
 	}
-	if done, ok := ptr.find(p.ChangeID); ok {
-		s.accepted(done, p)
-		return done, true, nil
+	if accepted, ok := current.find(p.ChangeID); ok {
+		s.recordAccepted(accepted, p)
+		return accepted, true, nil
 	}
-	if ptr.newest().Version != p.Base {
-		return Change{}, true, s.conflict(ctx, p, ptr.newest())
+	if current.newest().Version != p.Base {
+		return Change{}, true, s.conflict(ctx, p, current.newest())
 	}
 	change := Change{Version: p.Base + 1, ChangeID: p.ChangeID, Author: p.Author, At: time.Now().UTC(), Object: object}
-	value, err := json.Marshal(ptr.with(change))
+	value, err := json.Marshal(current.withChange(change))
 	if err != nil {
 		return Change{}, true, failure.Wrap(failure.Internal, err, "encode version row")
 	}
@@ -92,17 +91,17 @@
 	if !results[0].Done {
 		return Change{}, false, failure.New(failure.Conflict, "the version row moved")
 	}
-	s.accepted(change, p)
+	s.recordAccepted(change, p)
 	return change, true, nil
 }
 
-func (s *Syncer) accepted(c Change, p Proposal) {
+func (s *Syncer) recordAccepted(c Change, p Proposal) {
 	s.events.Record(event.ConfigApplied, event.Fields{Detail: versionDetail(c.Version, c.ChangeID)})
-	s.take(c.Version, c.ChangeID, p.Text, event.ConfigInForce)
+	s.applyIfNewer(c.Version, c.ChangeID, p.Text, event.ConfigInForce)
 }
 
-// conflict shows both sides: what the other change did and what this one
-// wanted, both against the common base where that is still known.
+// conflict returns a Conflict with the differences from the configuration in force to the
+// proposed one.
 func (s *Syncer) conflict(ctx context.Context, p Proposal, newest Change) error {
 	s.events.Record(event.ConfigConflict, event.Fields{Detail: p.ChangeID + " lost to " + newest.ChangeID})
 	theirs := s.document(ctx, newest.Object)
@@ -110,12 +109,12 @@
 	if err != nil {
 		return err
 	}
-	between, err := config.Diff(theirs, mine)
+	changes, err := config.Diff(theirs, mine)
 	if err != nil {
 		return err
 	}
-	lines := make([]string, 0, len(between))
-	for _, c := range between {
+	lines := make([]string, 0, len(changes))
+	for _, c := range changes {
 		lines = append(lines, "  "+c.String())
 	}
 	return failure.New(failure.Conflict,
@@ -135,17 +134,18 @@
 	return doc
 }
 
-// History lists the newest accepted changes, oldest first.
+// History returns the newest accepted changes, oldest first.
 func (s *Syncer) History(ctx context.Context) ([]Change, error) {
 	row, err := s.table.Get(ctx, rowKey)
 	if err != nil {
 		return nil, err
 	}
-	p, err := decodePointer(row.Value)
+	p, err := decodeVersionRow(row.Value)
 	return p.Changes, err
 }
 
-// Offer answers a peer that asks for a version above its own.
+// Offer returns the configuration in force if its version is above the given one, for a peer
+// that asks.
 func (s *Syncer) Offer(above uint64) (*InForce, bool) {
 	c := s.Current()
 	if c == nil || c.Version <= above {
--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -48,8 +48,8 @@
 		}
 	})
 
-	// Story: four operators change the configuration again and again while the
-	// store loses answers. Cause: a change whose answer was lost may stand.
+	// Four operators change the configuration repeatedly while the store loses answers. A
+	// change whose answer was lost may have taken effect.
 	DescribeTable("is linearizable under racing operators", func(faults standin.PlatformFaults) {
 		p.SetFaults(faults)
 		var mu sync.Mutex
@@ -77,7 +77,7 @@
 		all.Wait()
 		Expect(history.RegisterLinearizable(ops)).To(BeTrue())
 	},
-		Entry("with a sound store", standin.PlatformFaults{}),
+		Entry("with a store without faults", standin.PlatformFaults{}),
 		Entry("with lost answers", standin.PlatformFaults{LoseAnswers: 5}),
 	)
 
@@ -92,9 +92,9 @@
 		Expect(again.Version).To(Equal(first.Version))
 	})
 
-	// Story: a slow peer hands over an old document after a newer one is in
-	// force. Taking it would undo an accepted change.
-	It("never steps back, whoever offers an older version", func() {
+	// A slow peer delivers an old document after a newer one is in force. Applying it would
+	// undo an accepted change.
+	It("never goes back to an older version, whoever offers it", func() {
 		version := uint64(7)
 		s := newSyncer(func(context.Context, uint64) (uint64, string, []byte, error) { return version, "x", text, nil })
 		p.SetFaults(standin.PlatformFaults{TableDown: true})
--- a/internal/configsync/pointer.go
+++ b/internal/configsync/pointer.go
@@ -1,13 +1,12 @@
-// Package configsync keeps the configuration in force on a host. The version
-// row in the table service is the one place where versions are decided; a
-// host polls it, tells peers its version and takes a newer document from
-// whoever has it. The higher version wins, always: a host never steps back.
+// Package configsync maintains the configuration in force on a host. Versions are decided only
+// in the version row in the table service; a host polls it, sends its version to its peers and
+// fetches a newer document from any host that has it. The higher version always wins: a host
+// never goes back to a lower one.
 //
-// Failure cases: the store is down (peers still spread an accepted change,
-// and a new host takes the document from them); the answer to a change is
-// lost (the row names the newest changes by id, so it is read back, never
-// written blindly again); operators race (the version row is changed by
-// compare-and-set, the loser gets a Conflict that shows both sides).
+// Failure cases: the store is down (peers still distribute an accepted change, and a new host
+// fetches the document from them); the answer to a change is lost (the row lists the newest
+// changes by id, so it is read back before any further write); operators race (the version row
+// is changed by compare-and-set, and the loser gets a Conflict that shows both sides).
 package configsync
 
 import (
@@ -19,13 +18,12 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// rowKey names the version row.
+// rowKey is the key of the version row.
 const rowKey = "config/current"
 
-// keptChanges is how many changes the version row remembers. A change whose
-// answer was lost can be told apart from a lost race as long as fewer than
-// this many changes followed it.
-const keptChanges = 32
+// maxChanges is the maximum number of changes that the version row lists. A change whose answer
+// was lost can be told from a lost race while fewer than this many changes have followed it.
+const maxChanges = 32
 
 // Change is one accepted change.
 type Change struct {
@@ -36,29 +34,29 @@
 	Object   string    `json:"object"` // name of the document in the object store
 }
 
-// pointer is the value of the version row, newest change last.
-type pointer struct {
+// versionRow is the value of the version row, newest change last.
+type versionRow struct {
 	Changes []Change `json:"changes"`
 }
 
-func decodePointer(value []byte) (pointer, error) {
-	var p pointer
+func decodeVersionRow(value []byte) (versionRow, error) {
+	var r versionRow
 	if len(value) == 0 {
-		return p, nil
+		return r, nil
 	}
-	err := json.Unmarshal(value, &p)
-	return p, failure.Wrap(failure.BadConfig, err, "version row")
+	err := json.Unmarshal(value, &r)
+	return r, failure.Wrap(failure.BadConfig, err, "version row")
 }
 
-func (p pointer) newest() Change {
-	if len(p.Changes) == 0 {
+func (r versionRow) newest() Change {
+	if len(r.Changes) == 0 {
 		return Change{}
 	}
-	return p.Changes[len(p.Changes)-1]
+	return r.Changes[len(r.Changes)-1]
 }
 
-func (p pointer) find(changeID string) (Change, bool) {
-	for _, c := range p.Changes {
+func (r versionRow) find(changeID string) (Change, bool) {
+	for _, c := range r.Changes {
 		if c.ChangeID == changeID {
 			return c, true
 		}
@@ -66,13 +64,13 @@
 	return Change{}, false
 }
 
-// with returns the pointer after one more change.
-func (p pointer) with(c Change) pointer {
-	all := append(append([]Change(nil), p.Changes...), c)
-	if len(all) > keptChanges {
-		all = all[len(all)-keptChanges:]
+// withChange returns the value after one more change.
+func (r versionRow) withChange(c Change) versionRow {
+	all := append(append([]Change(nil), r.Changes...), c)
+	if len(all) > maxChanges {
+		all = all[len(all)-maxChanges:]
 	}
-	return pointer{Changes: all}
+	return versionRow{Changes: all}
 }
 
 func objectName(document []byte) string {
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -13,11 +13,11 @@
 	"github.com/gentianflow/gentianflow/internal/platform"
 )
 
-// PollPeriod is how often the version row is read. With peers telling each
-// other, one host's read is enough for the whole fleet.
+// PollPeriod is the interval between two reads of the version row. Since peers exchange their
+// versions, a read by one host suffices for the whole fleet.
 const PollPeriod = 2 * time.Second
 
-// InForce is one version of the configuration with its document. Immutable.
+// InForce is one version of the configuration with its document. It is immutable.
 type InForce struct {
 	Version  uint64
 	ChangeID string
@@ -25,12 +25,11 @@
 	Document *config.Document
 }
 
-// PeerSource fetches a document above a version from some other host. It
-// fails when no peer has one.
+// PeerSource fetches a document with a version above the given one from another host. It fails
+// if no peer has one.
 type PeerSource func(ctx context.Context, above uint64) (version uint64, changeID string, text []byte, err error)
 
-// Syncer holds the configuration in force. mu guards current, lastStore and
-// storeDown.
+// Syncer maintains the configuration in force. mu guards current, lastStore and storeDown.
 type Syncer struct {
 	table   platform.Table
 	objects platform.Objects
@@ -46,7 +45,7 @@
 	changed notify.Set
 }
 
-// New makes a syncer without a configuration.
+// New returns a syncer without a configuration.
 func New(table platform.Table, objects platform.Objects, peers PeerSource, events *event.Recorder) *Syncer {
 	return &Syncer{
 		table: table, objects: objects, peers: peers, events: events,
@@ -61,17 +60,17 @@
 	return s.current
 }
 
-// LastStore is when the table service last answered.
+// LastStore returns when the table service last answered.
 func (s *Syncer) LastStore() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastStore
 }
 
-// Subscribe returns a channel that yields a token after each new version.
+// Subscribe returns a channel that receives a value after each new version.
 func (s *Syncer) Subscribe() <-chan struct{} { return s.changed.Subscribe() }
 
-// Wake makes Run look for a newer version at once, because a peer has one.
+// Wake makes Run ask the peers at once, because a peer has a newer version.
 func (s *Syncer) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -81,12 +80,12 @@
 
 // Run polls until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
-	tick := time.NewTicker(PollPeriod)
-	defer tick.Stop()
+	ticker := time.NewTicker(PollPeriod)
+	defer ticker.Stop()
 	for {
 		s.pull(ctx)
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-s.wake:
 			s.pullPeers(ctx)
 		case <-ctx.Done():
@@ -95,13 +94,13 @@
 	}
 }
 
-// pull reads the version row, and asks peers when the store does not answer.
+// pull reads the version row, and asks peers if the store doesn't answer.
 func (s *Syncer) pull(ctx context.Context) {
 	newest, err := s.newest(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	s.noteStore(err)
+	s.recordStoreStatus(err)
 	if err != nil {
 		s.pullPeers(ctx)
 		return
@@ -117,7 +116,7 @@
 		s.pullPeers(ctx)
 		return
 	}
-	s.take(newest.Version, newest.ChangeID, text, event.ConfigInForce)
+	s.applyIfNewer(newest.Version, newest.ChangeID, text, event.ConfigInForce)
 }
 
 func (s *Syncer) newest(ctx context.Context) (Change, error) {
@@ -125,30 +124,31 @@
 	if err != nil {
 		return Change{}, err
 	}
-	p, err := decodePointer(row.Value)
+	p, err := decodeVersionRow(row.Value)
 	return p.newest(), err
 }
 
 func (s *Syncer) pullPeers(ctx context.Context) {
 	version, changeID, text, err := s.peers(ctx, s.version())
 	if err == nil && version > s.version() {
-		s.take(version, changeID, text, event.ConfigFromPeer)
+		s.applyIfNewer(version, changeID, text, event.ConfigFromPeer)
 	}
 }
 
-// noteStore keeps when the store last answered and records its changes.
-func (s *Syncer) noteStore(err error) {
+// recordStoreStatus records when the store last answered, and reports when it becomes
+// unavailable or available.
+func (s *Syncer) recordStoreStatus(err error) {
 	s.mu.Lock()
-	was := s.storeDown
+	wasDown := s.storeDown
 	s.storeDown = err != nil
 	if err == nil {
 		s.lastStore = time.Now()
 	}
 	s.mu.Unlock()
 	switch {
-	case err != nil && !was:
+	case err != nil && !wasDown:
 		s.events.Record(event.StoreDown, event.Fields{Detail: err.Error()})
-	case err == nil && was:
+	case err == nil && wasDown:
 		s.events.Record(event.StoreUp, event.Fields{})
 	}
 }
@@ -160,12 +160,12 @@
 	return 0
 }
 
-// take puts a document in force when its version is higher.
+// applyIfNewer puts a document in force if its version is higher.
 //
-// Guard: an older document may arrive late, from a slow peer or a store that
-// was set back; taking it would undo an accepted change. The version is
-// compared under mu, so no order of arrivals steps back.
-func (s *Syncer) take(version uint64, changeID string, text []byte, code event.Code) {
+// An older document may arrive late, from a slow peer or a store that was restored to an older
+// state, and would undo an accepted change. The version is compared under mu, so it never
+// decreases, whatever the order of arrival.
+func (s *Syncer) applyIfNewer(version uint64, changeID string, text []byte, code event.Code) {
 	doc, err := config.Decode(text)
 	if err != nil {
 		s.events.Record(event.ConfigRefused, event.Fields{Detail: err.Error()})
