--- a/internal/platform/httpplatform/client.go
+++ b/internal/platform/httpplatform/client.go
@@ -1,4 +1,4 @@
-// Package httpplatform speaks to the platform's services over HTTP and JSON.
+// Package httpplatform implements the interfaces of package platform over HTTP and JSON.
 package httpplatform
 
 import (
@@ -16,32 +16,32 @@
 )
 
 const (
-	maxReply = 16 << 20
-	// dialPause bounds how long a connection is kept idle: a platform that
-	// forgot a connection is met by a new one soon.
+	maxReplyBytes = 16 << 20
+	// idleTimeout is how long an idle connection is kept. It is short, so that a connection
+	// that the platform has dropped is soon replaced by a new one.
 	idleTimeout = 20 * time.Second
 )
 
-// Client implements Table, Objects and HostList. CallTimeout bounds each
-// call, so a connection that went silent costs one call and is then closed.
+// Client implements platform.Table, platform.Objects and platform.HostList. Its timeout bounds
+// each call, so a connection that stops responding costs one call and is then closed.
 type Client struct {
 	base    string
 	timeout time.Duration
 	http    *http.Client
 }
 
-// New makes a client for a base URL such as http://127.0.0.1:7000. Its
-// connections start from the IP number from, or from any when it is nil.
-func New(base string, from net.IP, callTimeout time.Duration) *Client {
+// New returns a client for a base URL such as http://127.0.0.1:7000. Its connections use the
+// source IP address, or any if it is nil. callTimeout bounds each call.
+func New(base string, source net.IP, callTimeout time.Duration) *Client {
 	dialer := net.Dialer{Timeout: callTimeout}
-	if from != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: from}
+	if source != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: source}
 	}
-	t := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: idleTimeout}
-	return &Client{base: base, timeout: callTimeout, http: &http.Client{Transport: t}}
+	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: idleTimeout}
+	return &Client{base: base, timeout: callTimeout, http: &http.Client{Transport: transport}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get implements platform.Table.
@@ -106,11 +106,11 @@
 	return reply.Hosts, err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *Client) call(ctx context.Context, method, path string, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// The body has no GetBody and writes are POSTs, so net/http sends each
-	// call once: a repeated conditional write would look like a lost race.
+	// The body has no GetBody and writes are POSTs, so net/http sends each call only once: a
+	// repeated conditional write would look like a lost race.
 	var reader io.Reader
 	if body != nil {
 		reader = io.NopCloser(bytes.NewReader(body))
@@ -126,15 +126,15 @@
 		return failure.Wrap(failure.StoreDown, err, "platform %s", path)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return failure.Wrap(failure.StoreDown, err, "platform %s", path)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return failure.New(failure.StoreDown, "platform %s answered %d", path, resp.StatusCode)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return failure.Wrap(failure.StoreDown, json.Unmarshal(text, into), "platform %s", path)
+	return failure.Wrap(failure.StoreDown, json.Unmarshal(data, result), "platform %s", path)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform defines what the system needs of the platform: the
-// transactional table service, the object store and the host list. Each is
-// one small interface with one adapter in package httpplatform, so that
-// another dialect is one more adapter.
+// Package platform defines what the system needs of the platform: the transactional table
+// service, the object store and the host list. Each is a small interface with one adapter in
+// package httpplatform; another platform needs only another adapter.
 package platform
 
 import (
@@ -15,8 +14,8 @@
 	Version uint64 `json:"version"`
 }
 
-// Write is one conditional write: it takes effect when the row's version is
-// IfVersion (0: the row must not exist). Delete removes the row.
+// Write is a conditional write: it takes effect if the row's version is IfVersion (0: the row
+// must not exist). Delete removes the row.
 type Write struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -24,28 +23,28 @@
 	Delete    bool   `json:"delete,omitempty"`
 }
 
-// WriteResult tells whether a write took effect and gives the row after it.
+// WriteResult reports whether a write took effect, and the row after it.
 type WriteResult struct {
 	Done bool `json:"done"`
 	Row  Row  `json:"row"`
 }
 
-// Table is the transactional table service. A failed call may have taken
-// effect: its answer can be lost. Callers read the row back.
+// Table is the transactional table service. A failed call may have taken effect, because its
+// answer can be lost; callers read the row back.
 type Table interface {
 	Get(ctx context.Context, key string) (Row, error)
-	// Apply sends a group of writes; each is conditional by itself.
+	// Apply sends a group of writes. Each is conditional on its own row only.
 	Apply(ctx context.Context, writes []Write) ([]WriteResult, error)
 }
 
-// Objects is the object store. Objects are named by the hash of their
-// content, so a repeated Put is harmless.
+// Objects is the object store. Objects are named by the hash of their content, so repeating
+// PutObject is harmless.
 type Objects interface {
 	PutObject(ctx context.Context, name string, content []byte) error
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// HostState is the host list's word on a host.
+// HostState is the state of a host according to the host list.
 type HostState string
 
 // The states of the host list.
@@ -54,7 +53,7 @@
 	HostLeaving HostState = "leaving"
 )
 
-// HostKind tells entry hosts from backend server hosts.
+// HostKind distinguishes entry hosts from backend server hosts.
 type HostKind string
 
 // The kinds of hosts.
@@ -63,8 +62,8 @@
 	BackendHost HostKind = "backend"
 )
 
-// Host is one line of the host list. For an entry host Address is its
-// control address, for a backend host the address of its server.
+// Host is an entry of the host list. For an entry host Address is its control address, for a
+// backend host the address of its server.
 type Host struct {
 	Name    string    `json:"name"`
 	Kind    HostKind  `json:"kind"`
@@ -72,10 +71,10 @@
 	State   HostState `json:"state"`
 }
 
-// HostList lists live and leaving hosts; it lags.
+// HostList lists live and leaving hosts; its answers may be outdated.
 type HostList interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Clock is passed in where tests must steer time.
+// Clock returns the current time; tests replace it to control time.
 type Clock func() time.Time
