--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -1,10 +1,10 @@
 package event
 
-// Code numbers one kind of event. Numbers are never reused; docs/EVENTS.md
-// lists each of them and a test holds the two equal.
+// Code is the number of a kind of event. Numbers are never reused. A test checks
+// that docs/EVENTS.md lists the same events as Catalogue.
 type Code int
 
-// Kind describes a Code: its name in logs, its level and what it means.
+// Kind describes a Code: its name in logs, its level and its meaning.
 type Kind struct {
 	Name  string
 	Level Level
@@ -14,7 +14,7 @@
 // Level is the severity of an event.
 type Level string
 
-// Trace events go to the time line only; the others are logged as well.
+// Trace events are added to the timeline only; other events are logged as well.
 const (
 	Trace Level = "trace"
 	Info  Level = "info"
@@ -22,8 +22,8 @@
 	Alarm Level = "alarm"
 )
 
-// The event codes, grouped by duty: 1xx process, 2xx request, 3xx home,
-// 4xx member, 5xx configuration, 6xx backend server, 7xx platform.
+// Event codes by subject: 1xx process, 2xx request, 3xx home (the host that runs
+// the scheduler), 4xx member, 5xx configuration, 6xx backend server, 7xx platform.
 const (
 	ProcessStarted  Code = 101
 	ProcessDraining Code = 102
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -34,10 +34,10 @@
 	})
 })
 
-var _ = Describe("the time line", func() {
-	// Story: an operator reads that a request was granted before it was
-	// accepted, because the granting host's clock is a minute behind.
-	It("puts no effect before its cause although clocks differ", func() {
+var _ = Describe("the timeline", func() {
+	// When the clock of the granting host is a minute behind, a timeline sorted by clock
+	// would show that a request was granted before it was accepted.
+	It("shows causes before effects although clocks differ", func() {
 		a := event.NewRecorder("a", "1", 10, log.NewNopLogger())
 		b := event.NewRecorder("b", "2", 10, log.NewNopLogger())
 		a.Record(event.RequestAccepted, event.Fields{Request: "r"})
@@ -52,14 +52,14 @@
 		Expect(names).To(Equal([]string{"request_accepted", "home_granted", "request_granted"}))
 	})
 
-	It("keeps the newest events within its size", func() {
+	It("keeps the newest events up to its size", func() {
 		r := event.NewRecorder("a", "1", 3, log.NewNopLogger())
 		for i := range 5 {
 			r.Record(event.RequestAccepted, event.Fields{Detail: fmt.Sprint(i)})
 		}
-		kept := r.Events(event.Filter{})
-		Expect(kept).To(HaveLen(3))
-		Expect(kept[0].Detail).To(Equal("2"))
-		Expect(kept[2].Detail).To(Equal("4"))
+		events := r.Events(event.Filter{})
+		Expect(events).To(HaveLen(3))
+		Expect(events[0].Detail).To(Equal("2"))
+		Expect(events[2].Detail).To(Equal("4"))
 	})
 })
--- a/internal/event/merge.go
+++ b/internal/event/merge.go
@@ -2,13 +2,13 @@
 
 import "sort"
 
-// Merge orders the events of many hosts: by Lamport time first, which never
-// puts an effect before its cause, then by host name, so that the same
-// events always merge to the same line.
-func Merge(lines ...[]Event) []Event {
+// Merge combines the events of several hosts into one timeline. It sorts by
+// Lamport time, which never puts an effect before its cause, then by host name,
+// so that the result is deterministic.
+func Merge(timelines ...[]Event) []Event {
 	var all []Event
-	for _, l := range lines {
-		all = append(all, l...)
+	for _, events := range timelines {
+		all = append(all, events...)
 	}
 	sort.SliceStable(all, func(i, j int) bool {
 		a, b := all[i], all[j]
--- a/internal/event/output.go
+++ b/internal/event/output.go
@@ -12,51 +12,51 @@
 	"github.com/gentianflow/gentianflow/internal/ring"
 )
 
-// Bounds of the log of one process. A host of the largest deployment answers 30
-// requests a second, with one to three lines each; a home logs its changes. A
-// line costs about 15 us of processor time and has 250 bytes.
+// Limits for the log of one process. In the largest deployment a host answers 30
+// requests per second with one to three lines each; a home also logs its state
+// changes. A line costs about 15 us of processor time and has 250 bytes.
 const (
-	linesPerSecond = 150
-	lineBurst      = 1500
-	linesWaiting   = 512
-	reportPeriod   = 5 * time.Second
+	maxLinesPerSecond  = 150
+	maxLineBurst       = 1500
+	maxQueuedLines     = 512
+	dropReportInterval = 5 * time.Second
 )
 
-// Output writes log lines in the background. It never blocks: lines over the
-// budget, or that come while the reader of the log stands still, are left out
-// and counted, and the count is logged.
+// Output writes log lines in the background. It never blocks: it drops lines that
+// exceed the rate limit or arrive while the log's reader is stalled, and logs how
+// many it dropped.
 type Output struct {
 	w       io.Writer
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Int64
 }
 
-// NewOutput makes an output to w; Run writes.
+// NewOutput returns an output to w. Run writes the lines.
 func NewOutput(w io.Writer) *Output {
-	return &Output{w: w, limit: rate.NewLimiter(linesPerSecond, lineBurst), lines: ring.New[[]byte](linesWaiting)}
+	return &Output{w: w, limiter: rate.NewLimiter(maxLinesPerSecond, maxLineBurst), lines: ring.New[[]byte](maxQueuedLines)}
 }
 
-// Write implements io.Writer for a logger: p is one line.
+// Write implements io.Writer for a logger; p is one line.
 func (o *Output) Write(p []byte) (int, error) {
-	if !o.limit.Allow() || !o.lines.TryPush(append([]byte(nil), p...)) {
+	if !o.limiter.Allow() || !o.lines.TryPush(append([]byte(nil), p...)) {
 		o.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// Dropped returns how many lines were left out so far.
+// Dropped returns the number of lines dropped so far.
 func (o *Output) Dropped() int64 { return o.dropped.Load() }
 
-// Run writes lines until ctx ends, and then those that wait.
+// Run writes lines until ctx ends, then writes those still queued.
 func (o *Output) Run(ctx context.Context) {
-	report := time.NewTicker(reportPeriod)
-	defer report.Stop()
+	ticker := time.NewTicker(dropReportInterval)
+	defer ticker.Stop()
 	reported := int64(0)
 	for {
 		select {
 		case <-o.lines.Ready():
-		case <-report.C:
+		case <-ticker.C:
 			if n := o.dropped.Load(); n > reported {
 				_, _ = fmt.Fprintf(o.w, "level=warn event=%d name=%s count=%d\n", LinesDropped, Catalogue[LinesDropped].Name, n-reported)
 				reported = n
@@ -69,8 +69,8 @@
 	}
 }
 
-// flush writes what waits in one call. A log that cannot be written must not
-// stop a request, so its error is left at that.
+// flush writes the queued lines in one call. It ignores the error because a failing
+// log must not stop a request.
 func (o *Output) flush() {
 	var text []byte
 	for _, line := range o.lines.Drain(nil) {
--- a/internal/event/output_test.go
+++ b/internal/event/output_test.go
@@ -12,7 +12,7 @@
 	"github.com/onsi/gomega/gbytes"
 )
 
-var _ = Describe("the output of the log", func() {
+var _ = Describe("the log output", func() {
 	run := func(o *Output) {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -30,28 +30,27 @@
 		Eventually(out).Should(gbytes.Say("a\nb\nc\n"))
 	})
 
-	// The collector of the logs stands still and the pipe is full. Requests must
-	// go on.
-	It("does not block when nobody reads, and counts what it leaves out", func() {
+	// When the log collector stalls and the pipe is full, requests must not block.
+	It("does not block when the reader stalls, and counts dropped lines", func() {
 		r, w := io.Pipe()
 		DeferCleanup(r.Close)
 		o := NewOutput(w)
 		run(o)
-		begun := time.Now()
-		for range 3 * linesWaiting {
+		start := time.Now()
+		for range 3 * maxQueuedLines {
 			_, _ = o.Write([]byte("line\n"))
 		}
-		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
+		Expect(time.Since(start)).To(BeNumerically("<", time.Second))
 		Expect(o.Dropped()).To(BeNumerically(">", 0))
 	})
 
-	It("keeps to its budget under load", func() {
+	It("stays within its rate limit under load", func() {
 		var out bytes.Buffer
 		o := NewOutput(&out)
-		for range 10 * lineBurst {
+		for range 10 * maxLineBurst {
 			_, _ = o.Write([]byte("line\n"))
 			o.flush()
 		}
-		Expect(strings.Count(out.String(), "\n")).To(BeNumerically("<", 2*lineBurst))
+		Expect(strings.Count(out.String(), "\n")).To(BeNumerically("<", 2*maxLineBurst))
 	})
 })
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -1,7 +1,7 @@
-// Package event records what a process does: numbered events that go to the
-// log and to a bounded time line. Each event carries a Lamport time, which
-// travels in the messages between hosts, so that the merged time line of all
-// hosts is in causal order although their clocks differ.
+// Package event records numbered events of a process in the log and in a bounded
+// timeline. Each event has a Lamport time. Hosts include it in their messages, so
+// that the merged timeline of all hosts is in causal order although their clocks
+// differ.
 package event
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// Event is one entry of the time line.
+// Event is an entry of the timeline.
 type Event struct {
 	Lamport     uint64    `json:"lamport"`
 	At          time.Time `json:"at"` // the host's own clock
@@ -36,7 +36,7 @@
 	Detail  string
 }
 
-// Recorder keeps the newest events of one process.
+// Recorder keeps the newest events of a process.
 // mu guards lamport, events and next.
 type Recorder struct {
 	host        string
@@ -49,12 +49,12 @@
 	next    int
 }
 
-// NewRecorder makes a recorder that keeps size events and logs to logger.
+// NewRecorder returns a recorder that keeps the newest size events and logs to logger.
 func NewRecorder(host, incarnation string, size int, logger log.Logger) *Recorder {
 	return &Recorder{host: host, incarnation: incarnation, logger: logger, events: make([]Event, 0, size)}
 }
 
-// Record adds an event to the time line and, above Trace, to the log.
+// Record adds an event to the timeline and, if its level is above Trace, to the log.
 func (r *Recorder) Record(code Code, f Fields) {
 	kind := Catalogue[code]
 	r.mu.Lock()
@@ -64,15 +64,15 @@
 		Code: code, Name: kind.Name,
 		Request: f.Request, Service: f.Service, Server: f.Server, Peer: f.Peer, Detail: f.Detail,
 	}
-	r.keep(e)
+	r.store(e)
 	r.mu.Unlock()
 	if kind.Level != Trace {
 		r.log(kind, e)
 	}
 }
 
-// keep stores e over the oldest event. The caller holds mu.
-func (r *Recorder) keep(e Event) {
+// store adds e and overwrites the oldest event when the timeline is full. The caller holds mu.
+func (r *Recorder) store(e Event) {
 	if len(r.events) < cap(r.events) {
 		r.events = append(r.events, e)
 		return
@@ -97,10 +97,10 @@
 			kv = append(kv, f.k, f.v)
 		}
 	}
-	_ = leveled.Log(kv...) // a log that cannot be written must not stop a request
+	_ = leveled.Log(kv...) // a failing log must not stop a request
 }
 
-// Clock returns the Lamport time to send with a message.
+// Clock advances the Lamport time and returns it, to be sent with a message.
 func (r *Recorder) Clock() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	return r.lamport
 }
 
-// Witness moves the Lamport time past that of a received message.
+// Witness advances the Lamport time to at least that of a received message.
 func (r *Recorder) Witness(remote uint64) {
 	r.mu.Lock()
 	if remote > r.lamport {
@@ -117,7 +117,7 @@
 	r.mu.Unlock()
 }
 
-// Filter selects events; an empty field matches everything.
+// Filter selects events; an empty field matches every event.
 type Filter struct {
 	Request string
 	Service string
@@ -130,7 +130,7 @@
 		(f.Server == "" || f.Server == e.Server)
 }
 
-// Events returns the kept events that match, oldest first.
+// Events returns the stored events that match f, oldest first.
 func (r *Recorder) Events(f Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
