--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// Fingerprint tells whether two requests are the same one that came again, by whatever
-// attempt and host. The zero value is that of a request that is not known.
+// Fingerprint identifies a request across its attempts and the hosts that receive them. The zero
+// value means that it is unknown.
 type Fingerprint [16]byte
 
-// Of is the fingerprint of a request: two have the same one when method, host, target,
-// caller and body are the same. The hash is cryptographic, since callers choose what goes
-// in: nobody can make a request that is taken for another caller's.
+// Of returns the fingerprint of a request. Requests have the same one if method, host, target,
+// caller and body are equal. The hash is cryptographic, since callers choose the input: no
+// caller can forge a request that is taken for that of another one.
 func Of(method, host, target, caller string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{method, host, target, caller} {
@@ -28,7 +28,7 @@
 	return f
 }
 
-// FromBytes is the fingerprint that Bytes gave; anything else is not known.
+// FromBytes converts the result of Bytes back; any other input gives the zero value.
 func FromBytes(b []byte) Fingerprint {
 	var f Fingerprint
 	if len(b) == len(f) {
@@ -37,10 +37,10 @@
 	return f
 }
 
-// Known reports whether f names a request.
+// Known reports whether f identifies a request.
 func (f Fingerprint) Known() bool { return f != Fingerprint{} }
 
-// Bytes is f as messages carry it, nil when it is not known.
+// Bytes returns the form used in messages, nil for an unknown fingerprint.
 func (f Fingerprint) Bytes() []byte {
 	if !f.Known() {
 		return nil
@@ -48,10 +48,10 @@
 	return f[:]
 }
 
-// String is what logs, operators and the store name it by.
+// String returns the hexadecimal form used in logs, in operators' commands and as store key.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String gave and reports false for anything else.
+// Parse converts the result of String back; it reports false for any other input.
 func Parse(text string) (Fingerprint, bool) {
 	b, err := hex.DecodeString(text)
 	f := FromBytes(b)
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -2,73 +2,73 @@
 
 import "slices"
 
-// Standing is how a request is to be treated.
+// Standing says how the scheduler must treat a request.
 type Standing uint8
 
 const (
-	// Free: nothing is held against it.
+	// Free requests run without restriction.
 	Free Standing = iota
-	// Suspect: it ran at a server that ended. So did others there; it goes on, but for
-	// copies of it, one at a time.
+	// Suspect requests were running on a server that ended, as other requests may have been.
+	// They still run, but only one copy of the same request at a time.
 	Suspect
-	// Isolated: it was the most suspect at two ends or more, or its time in quarantine is
-	// over. One copy at a time runs, apart from other suspects.
+	// Isolated requests were the most suspect ones at two ends or more, or their quarantine
+	// has expired. One copy runs at a time, separately from other suspects.
 	Isolated
-	// Wait: as Isolated, but the cause of its newest end is not plain yet.
+	// Wait is as Isolated, but the cause of the newest end is not clear yet.
 	Wait
-	// Quarantined: it has ended servers until no doubt was left. It is not run.
+	// Quarantined requests are the proven cause of several ends. They do not run.
 	Quarantined
 )
 
-// Peers tells of the servers of a request's service.
+// Peers reports on the servers of a request's service.
 type Peers interface {
-	// Well reports whether one that was there before a moment has answered since, and has
+	// Well reports whether a server that was known before since has answered after it and has
 	// not ended.
 	Well(since Time) bool
-	// Unseen counts those that may have ended at a moment without being missed yet: nothing
-	// ran there whose end would have told.
+	// Unseen counts the servers that may have ended at a time without this being noticed yet,
+	// because they ran no request that would have failed.
 	Unseen(at Time) int
 }
 
-// SetPartial tells whether the table lacks what others know.
+// SetPartial sets whether the table may lack facts that other hosts know.
 //
-// Guard: a host that does not schedule for all hears of ends under a request from the home,
-// but not of every other server that ended in the same moment. Were it to judge by that, an
-// ordinary request would be refused everywhere for a rack that ended.
+// A host other than the home (the host that runs the scheduler) receives the ends under a
+// request from the home, but not every other server that ended at the same time. If it judged
+// by these, an ordinary request would be refused everywhere because a rack failed.
 func (t *Table) SetPartial(partial bool) {
 	if t.partial != partial {
 		t.partial = partial
-		t.changes++
+		t.revision++
 	}
 }
 
-// Judge tells how a request is to be treated now. It puts the request in quarantine when the
-// facts are enough and nothing is missing.
+// Judge returns how a request must be treated now. It puts the request in quarantine when the
+// facts suffice and are complete.
 func (t *Table) Judge(now Time, f Fingerprint, peers Peers) Standing {
 	e := t.entries[f]
 	if e == nil {
 		return Free
 	}
-	if !e.judged.stale(now, t.changes) {
-		return e.judged.standing
+	if !e.lastJudgment.stale(now, t.revision) {
+		return e.lastJudgment.standing
 	}
 	standing := t.judge(now, f, e, peers)
-	e.judged = judgment{standing: standing, at: now, changes: t.changes}
+	e.lastJudgment = judgment{standing: standing, at: now, revision: t.revision}
 	return standing
 }
 
-// judgment is how a request was judged last.
+// judgment is a cached result of Judge.
 type judgment struct {
 	standing Standing
 	at       Time
-	changes  uint64 // of the table, until then
+	revision uint64 // of the table
 }
 
-// stale reports whether new facts, or time, may change the judgment. Each suspect that
-// waits is judged in each round of the scheduler: in a burst with five poison requests about that
-// was half of its work.
-func (j judgment) stale(now Time, changes uint64) bool {
-	return j.changes != changes || now-j.at >= judgedFor
+// stale reports whether new facts or the passage of time may change the judgment. The scheduler
+// judges each waiting suspect in each round; without the cache this was half of its work in a
+// burst with five poison requests.
+func (j judgment) stale(now Time, revision uint64) bool {
+	return j.revision != revision || now-j.at >= judgmentTTL
 }
 
 func (t *Table) judge(now Time, f Fingerprint, e *entry, peers Peers) Standing {
@@ -78,133 +78,134 @@
 		}
 		return Quarantined
 	}
-	if now-e.last() > memory {
+	if now-e.last() > endRetention {
 		t.drop(f)
 		return Free
 	}
-	ends, apart := t.attributed(f, e, peers)
+	ends, separateCauses := t.attributedEnds(f, e, peers)
 	if len(ends) < 2 {
-		if e.progress > e.last() {
+		if e.progressAt > e.last() {
 			return Free
 		}
 		return Suspect
 	}
 	last := ends[len(ends)-1].at
-	if now-last < sameMoment || now-last < sameCause && !peers.Well(last) {
+	if now-last < correlationWindow || now-last < sameCauseWindow && !peers.Well(last) {
 		return Wait
 	}
-	if apart < endsToQuarantine {
+	if separateCauses < endsToQuarantine {
 		return Isolated
 	}
-	// Guard: when all servers of a service end together, those that were idle are missed
-	// only when their entries lapse. Were the request that was at the busy ones judged
-	// before that, it alone would look like the cause.
-	if t.partial || t.unsettled(now, ends, peers) {
+	// When all servers of a service end together, the ends of idle ones are noticed only when
+	// their entries expire. Before that, a request that ran on the busy ones would look like
+	// the only cause.
+	if t.partial || t.mayProveCorrelated(now, ends, peers) {
 		return Wait
 	}
-	e.quarantined, e.since, e.by = true, now, t.host
-	e.retryAt = now + firstTrial
-	t.changed(f)
+	e.quarantined, e.quarantinedAt, e.quarantinedBy = true, now, t.host
+	e.retryAt = now + initialQuarantine
+	t.markChanged(f)
 	return Quarantined
 }
 
-// attributed lists the ends that are held against a request, and counts those that have each
-// a cause of their own.
+// attributedEnds lists the ends that are attributed to a request, and counts the separate causes
+// among them.
 //
-// Guard: up to a server's places of ordinary requests run beside the poison request, and some of
-// them come again beside it. The poison request is there each time, so the more ends it has seen
-// the less of them is held against others. And servers end for reasons of their own: a rack
-// at a time, again and again, with hundreds of requests, of which a few are there each time.
-func (t *Table) attributed(f Fingerprint, e *entry, peers Peers) (list []end, apart int) {
+// Ordinary requests, up to the slots of a server, run beside a poison request, and some of them
+// are retried on the same server as it again. The poison request is present each time, so the
+// more ends it has seen, the fewer of them are attributed to others. Servers also end for other
+// reasons: a rack fails repeatedly, with hundreds of requests, of which a few are present each
+// time.
+func (t *Table) attributedEnds(f Fingerprint, e *entry, peers Peers) (list []end, separateCauses int) {
 	for i := range e.ends {
 		lost := &e.ends[i]
-		if t.common(f, lost) || t.outweighed(f, e, lost) {
+		if t.correlated(f, lost) || t.hasStrongerSuspect(f, e, lost) {
 			continue
 		}
 		n := len(list)
-		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCause || peers.Well(list[n-1].at)) {
+		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCauseWindow || peers.Well(list[n-1].at)) {
 			lost.distinct = true
-			t.news[f] = true // another home would not know who was well then
+			t.unreported[f] = true // another home could not tell which servers answered then
 		}
 		if lost.distinct {
-			apart++
+			separateCauses++
 		}
 		list = append(list, *lost)
 	}
-	return list, apart
+	return list, separateCauses
 }
 
-// common reports whether other servers, where the request was not, ended in the same
-// moment.
-func (t *Table) common(f Fingerprint, lost *end) bool {
+// correlated reports whether several servers that did not run the request ended within
+// correlationWindow of lost, so that a common failure is the likely cause.
+func (t *Table) correlated(f Fingerprint, lost *end) bool {
 	others := 0
 	for _, s := range t.endsAround(lost.at) {
 		if s.name != lost.server && !s.requests[f] {
 			others++
 		}
 	}
-	for _, idle := range t.idle {
-		if idle.around(lost.at) {
+	for _, idle := range t.idleEnds {
+		if idle.mayCoincide(lost.at) {
 			others++
 		}
 	}
-	return others >= otherEnds
+	return others >= minOtherEnds
 }
 
-// unsettled reports whether entries that lapse may yet show that one of the ends was of a
-// moment in which others ended too.
-func (t *Table) unsettled(now Time, ends []end, peers Peers) bool {
+// mayProveCorrelated reports whether entries of idle servers that have yet to expire may show
+// that one of the ends was correlated with others.
+func (t *Table) mayProveCorrelated(now Time, ends []end, peers Peers) bool {
 	return slices.ContainsFunc(ends, func(e end) bool {
-		return now-e.at < t.lapse && peers.Unseen(e.at) >= otherEnds
+		return now-e.at < t.entryTTL && peers.Unseen(e.at) >= minOtherEnds
 	})
 }
 
-// weight orders the requests that ran at one server by how suspect they are.
-func (t *Table) weight(f Fingerprint, e *entry) int {
+// suspicion ranks the requests that ran on one server; the highest is the most suspect.
+func (t *Table) suspicion(f Fingerprint, e *entry) int {
 	n := 0
 	for i := range e.ends {
-		if !t.common(f, &e.ends[i]) {
+		if !t.correlated(f, &e.ends[i]) {
 			n++
 		}
 	}
 	if e.quarantined {
-		n += maxLosses
+		n += maxEndsPerRequest
 	}
 	return n
 }
 
-// outweighed reports whether another request that ran at the server is more suspect: it
-// has seen more ends, or as many, and had shown nothing there while this one had.
-func (t *Table) outweighed(f Fingerprint, e *entry, lost *end) bool {
-	mine := t.weight(f, e)
+// hasStrongerSuspect reports whether another request that ran on the server is more suspect:
+// it has seen more ends, or as many and it had sent no event there while this one had.
+func (t *Table) hasStrongerSuspect(f Fingerprint, e *entry, lost *end) bool {
+	own := t.suspicion(f, e)
 	for other := range t.servers[lost.server].requests {
 		if other == f {
 			continue
 		}
 		o := t.entries[other]
-		weight := t.weight(other, o)
-		if weight > mine || weight == mine && lost.shown && !o.shownAt(lost.server) {
+		suspicion := t.suspicion(other, o)
+		if suspicion > own || suspicion == own && lost.eventSeen && !o.eventSeenAt(lost.server) {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *entry) shownAt(server string) bool {
+func (e *entry) eventSeenAt(server string) bool {
 	i := slices.IndexFunc(e.ends, func(lost end) bool { return lost.server == server })
-	return i >= 0 && e.ends[i].shown
+	return i >= 0 && e.ends[i].eventSeen
 }
 
-// Progress notes that a run of a request is well on its way.
+// Progress records that a run of a request makes good progress.
 //
-// Guard: requests that are alike in all come legitimately often, checks as well as long
-// streams. One server's end must not put them in a line, one at a time, until the first of
-// them has ended; the first that gets on frees the others. It does not clear the request:
-// one that ends its servers after seconds would be cleared each time.
+// Identical requests are common and legitimate, short checks as well as long streams. After the
+// end of one server they must not run one at a time until the first of them has completed, so
+// progress of the first one lifts the restriction for the others. It does not clear the
+// request: one that ends its servers after some seconds would be cleared each time.
 func (t *Table) Progress(now Time, f Fingerprint) {
-	if e := t.entries[f]; e != nil && e.progress <= e.last() {
-		e.progress = now
-		t.changes++
+	if e := t.entries[f]; e != nil && e.progressAt <= e.last() {
+		e.progressAt = now
+		t.revision++
 	}
 }
 
@@ -214,7 +215,7 @@
 	return e != nil && (e.quarantined || len(e.ends) > 1)
 }
 
-// RetryIn is how long a request stays in quarantine.
+// RetryIn returns how long a request remains in quarantine.
 func (t *Table) RetryIn(now Time, f Fingerprint) Time {
 	if e := t.entries[f]; e != nil && e.quarantined {
 		return max(0, e.retryAt-now)
@@ -222,7 +223,7 @@
 	return 0
 }
 
-// Explain tells what is held against a request, empty when there is nothing.
+// Explain describes the facts about a request; empty if there are none.
 func (t *Table) Explain(now Time, f Fingerprint) string {
 	if !t.Has(f) {
 		return ""
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Record is what a table knows of one request, as hosts tell it to each other and to the
-// store. Moments are told as ages, since clocks of hosts differ.
+// Record holds the facts about one request, as hosts exchange them and write them to the store.
+// Times are given as ages, since the clocks of hosts differ.
 type Record struct {
 	Fingerprint Fingerprint
 	Account     string
 	Service     string
 	Ends        []End
 	Quarantined bool
-	Age         Time // since it was put there
-	RetryIn     Time // until it may be tried
+	Age         Time // time since it was quarantined
+	RetryIn     Time // time until a trial run is allowed
 	By          string
-	Cleared     bool // what is older than ClearedAge does not count
-	// ClearedAge is how long ago it succeeded or was released.
+	Cleared     bool // facts older than ClearedAge are ignored
+	// ClearedAge is the time since the request succeeded or was released.
 	ClearedAge Time
 }
 
@@ -25,18 +25,18 @@
 type End struct {
 	Server string
 	Age    Time
-	Shown  bool // the request had shown an event there
-	// Distinct is set when it is known to have another cause than the end before.
+	Shown  bool // the request had sent an event there
+	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
 }
 
-// Urgent reports whether every host needs to know at once, and not only those that may take
-// over: what servers ended under twice. Of a rack that ends hundreds of requests are told;
-// few of them come twice.
+// Urgent reports whether every host needs the record at once, and not only those that may take
+// over as home: more than one server ended under the request. A rack that fails causes records
+// of hundreds of requests, few of which are present at a second end.
 func (r *Record) Urgent() bool { return r.Quarantined || len(r.Ends) > 1 }
 
-// Merge takes what another host or the store knows. Told twice, late or out of order it
-// changes nothing.
+// Merge adds the facts of a record from another host or the store. It is idempotent, and late
+// or reordered records lead to the same result.
 func (t *Table) Merge(now Time, r Record) {
 	if !r.Fingerprint.Known() {
 		return
@@ -52,38 +52,38 @@
 	}
 }
 
-// mergeCleared drops what is older than a success or release elsewhere.
+// mergeCleared drops facts older than a success or release on another host.
 func (t *Table) mergeCleared(at Time, f Fingerprint) {
 	if have, ok := t.cleared[f]; ok && have >= at {
 		return
 	}
 	e := t.entries[f]
 	if e != nil && e.last() > at {
-		return // it has ended a server since
+		return // a server has ended under it since
 	}
 	t.drop(f)
 	t.setCleared(at, f)
 }
 
 func (t *Table) mergeQuarantined(now Time, r Record) {
-	since := now - r.Age
-	if at, ok := t.cleared[r.Fingerprint]; ok && since <= at {
+	quarantinedAt := now - r.Age
+	if at, ok := t.cleared[r.Fingerprint]; ok && quarantinedAt <= at {
 		return
 	}
 	e := t.entries[r.Fingerprint]
 	if e == nil {
-		t.makeRoom(now)
+		t.evictIfFull(now)
 		e = &entry{account: r.Account, service: r.Service}
 		t.entries[r.Fingerprint] = e
 	}
 	if !e.quarantined {
-		e.quarantined, e.since, e.by = true, since, r.By
-		t.changed(r.Fingerprint)
+		e.quarantined, e.quarantinedAt, e.quarantinedBy = true, quarantinedAt, r.By
+		t.markChanged(r.Fingerprint)
 	}
 	e.retryAt = max(e.retryAt, now+r.RetryIn)
 }
 
-// Record tells what the table knows of a request.
+// Record returns the facts about a request.
 func (t *Table) Record(now Time, f Fingerprint) Record {
 	r := Record{Fingerprint: f}
 	if at, ok := t.cleared[f]; ok {
@@ -95,15 +95,15 @@
 	}
 	r.Account, r.Service = e.account, e.service
 	for _, lost := range e.ends {
-		r.Ends = append(r.Ends, End{Server: lost.server, Age: now - lost.at, Shown: lost.shown, Distinct: lost.distinct})
+		r.Ends = append(r.Ends, End{Server: lost.server, Age: now - lost.at, Shown: lost.eventSeen, Distinct: lost.distinct})
 	}
 	if e.quarantined {
-		r.Quarantined, r.Age, r.RetryIn, r.By = true, now-e.since, max(0, e.retryAt-now), e.by
+		r.Quarantined, r.Age, r.RetryIn, r.By = true, now-e.quarantinedAt, max(0, e.retryAt-now), e.quarantinedBy
 	}
 	return r
 }
 
-// All tells everything that the table knows, for a host that knows nothing yet.
+// All returns the records of all requests, for a host that has none yet.
 func (t *Table) All(now Time) []Record {
 	var out []Record
 	for f := range t.entries {
@@ -117,21 +117,21 @@
 	return out
 }
 
-// TakeNews tells what has changed since it was called last.
+// TakeNews returns the records that have changed since the last call.
 func (t *Table) TakeNews(now Time) []Record {
-	if len(t.news) == 0 {
+	if len(t.unreported) == 0 {
 		return nil
 	}
-	out := make([]Record, 0, len(t.news))
-	for f := range t.news {
+	out := make([]Record, 0, len(t.unreported))
+	for f := range t.unreported {
 		out = append(out, t.Record(now, f))
 	}
-	clear(t.news)
+	clear(t.unreported)
 	return out
 }
 
-// Explain tells which servers ended under the request, how long ago, and on whose word it
-// is in quarantine.
+// Explain describes which servers ended under the request, how long ago, and which host put it
+// in quarantine.
 func (r *Record) Explain() string {
 	var text strings.Builder
 	text.WriteString("ended:")
--- a/internal/quarantine/row.go
+++ b/internal/quarantine/row.go
@@ -7,19 +7,19 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Row is what the platform's store keeps of a request in quarantine, under its fingerprint.
+// Row is the row of a quarantined request in the platform's store, keyed by its fingerprint.
 // An operator releases a request by writing its row with Released.
 type Row struct {
 	Account  string   `json:"account,omitempty"`
 	Service  string   `json:"service,omitempty"`
-	Servers  []string `json:"servers,omitempty"` // that ended under it
-	By       string   `json:"by,omitempty"`      // the host that put it there
-	SinceMs  int64    `json:"sinceMs,omitempty"` // Unix, by the clock of that host
-	RetryMs  int64    `json:"retryMs,omitempty"` // Unix, when it may be tried
+	Servers  []string `json:"servers,omitempty"` // servers that ended under the request
+	By       string   `json:"by,omitempty"`      // host that put it in quarantine
+	SinceMs  int64    `json:"sinceMs,omitempty"` // Unix time, by the clock of that host
+	RetryMs  int64    `json:"retryMs,omitempty"` // Unix time of the next trial run
 	Released bool     `json:"released,omitempty"`
 }
 
-// RowOf is the row of a record.
+// RowOf converts a record to a row.
 func RowOf(now time.Time, r Record) Row {
 	row := Row{
 		Account: r.Account, Service: r.Service, By: r.By,
@@ -31,13 +31,13 @@
 	return row
 }
 
-// Encode is the row as the store keeps it.
+// Encode returns the stored form of the row.
 func (row Row) Encode() ([]byte, error) {
 	text, err := json.Marshal(row)
-	return text, failure.Wrap(failure.Internal, err, "encode a request in quarantine")
+	return text, failure.Wrap(failure.Internal, err, "encode the row of a quarantined request")
 }
 
-// DecodeRow reads a row of the store. It fails with BadConfig for one that is not of ours.
+// DecodeRow decodes a row of the store. It fails with BadConfig if key or value is malformed.
 func DecodeRow(key string, value []byte) (Fingerprint, Row, error) {
 	var row Row
 	f, ok := Parse(key)
@@ -47,13 +47,13 @@
 	return f, row, failure.Wrap(failure.BadConfig, json.Unmarshal(value, &row), "decode the row of request %s", key)
 }
 
-// Age is how long ago the request was put in quarantine. The clock of the host that did may be off:
-// an age below zero counts as none.
+// Age returns the time since the request was put in quarantine. The clock of the host that did
+// so may be ahead: a negative age counts as 0.
 func (row Row) Age(now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(row.SinceMs)))
 }
 
-// Record is what the row tells a table.
+// Record converts the row to a record for Merge.
 func (row Row) Record(now time.Time, f Fingerprint) Record {
 	if row.Released {
 		return Record{Fingerprint: f, Cleared: true}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -1,10 +1,10 @@
-// Package quarantine finds the requests that end each server which runs them (queries of
-// death), and keeps them from further servers.
+// Package quarantine detects poison requests (queries of death), which end each server that
+// runs them, and keeps them from further servers.
 //
-// What is known is a set of facts: this request ran at that server as it ended. Facts of
-// several hosts are joined as sets, so it does not matter in which order they come, or how
-// often. Which request is the cause is worked out from them anew each time. A request that succeeds
-// anywhere is not one of these, and its facts are dropped.
+// The state is a set of facts of the form "this request was running on that server when it
+// ended". Facts from several hosts are merged as sets, so neither their order nor duplicates
+// matter. The cause is derived from the facts anew each time. A request that succeeds anywhere
+// is no poison request, and its facts are dropped.
 //
 // The package is pure: it reads no clock and does no I/O.
 package quarantine
@@ -16,127 +16,132 @@
 	"time"
 )
 
-// Time is a moment on the monotonic clock of the process that owns the table.
+// Time is a time on the monotonic clock of the process that owns the table.
 type Time = time.Duration
 
 const (
-	// endsToQuarantine is how many servers must have ended under a request. Two may be chance:
-	// of the requests beside a poison request some come again beside it.
+	// endsToQuarantine is the number of servers that must have ended under a request. Two may
+	// be chance: some ordinary requests that ran on one server with a poison request are
+	// retried on the same server as the poison request again.
 	endsToQuarantine = 3
-	// sameCause is how close ends may be that have one cause, other than a request: a rack
-	// or all servers of a service that end together, while a request goes from one to the
-	// next. They count once, unless a server that was there before goes on answering.
-	sameCause = time.Second
-	// sameMoment is how close ends are that come of one failure; hosts notice them within
-	// that. otherEnds is how many other servers must have ended in the moment for it to be
-	// one: several poison requests may be about, each of which ends one or two servers a second.
-	sameMoment = 200 * time.Millisecond
-	otherEnds  = 2
-	// firstTrial is how long a request stays in quarantine before it is tried once: its
-	// servers may have been mended. The time doubles with each trial that ends a server,
-	// to trialMost.
-	firstTrial = 10 * time.Minute
-	trialMost  = 4 * time.Hour
-	// memory is how long an end is held against a request that is not in quarantine.
-	memory = 10 * time.Minute
-	// judgedFor is how long a judgment holds while nothing new is known.
-	judgedFor = 50 * time.Millisecond
-	// maxEntries bounds the requests in the table, 300 bytes each, maxLosses the ends kept
-	// of one, and maxServers the servers whose end is known.
-	maxEntries = 2048
-	maxLosses  = 8
-	maxServers = 4096
+	// sameCauseWindow is the interval within which server ends may have one cause other than
+	// a request: a rack or all servers of a service fail while a request is retried on one
+	// after the other. Such ends count once, unless a server that was known before the first of
+	// them has answered since.
+	sameCauseWindow = time.Second
+	// correlationWindow is the interval within which hosts notice the ends that one failure
+	// causes. minOtherEnds is the number of other servers that must have ended within it for
+	// the ends to count as correlated: several poison requests may be active, each of which
+	// ends one or two servers a second.
+	correlationWindow = 200 * time.Millisecond
+	minOtherEnds      = 2
+	// initialQuarantine is how long a request stays in quarantine before one trial run: the
+	// servers may have been fixed. The time doubles with each trial that ends a server, up to
+	// maxQuarantine.
+	initialQuarantine = 10 * time.Minute
+	maxQuarantine     = 4 * time.Hour
+	// endRetention is how long a server's end counts against a request that is not in
+	// quarantine.
+	endRetention = 10 * time.Minute
+	// judgmentTTL is how long a judgment is reused while the table does not change.
+	judgmentTTL = 50 * time.Millisecond
+	// maxEntries bounds the requests in the table, of 300 bytes each, maxEndsPerRequest the
+	// ends stored for each of them, and maxServers the servers whose end is known.
+	maxEntries        = 2048
+	maxEndsPerRequest = 8
+	maxServers        = 4096
 )
 
-// Loss is the fact that a request ran at a server as it ended.
+// Loss is the fact that a request was running on a server when the server ended.
 type Loss struct {
 	Fingerprint Fingerprint
 	Account     string
 	Service     string
-	Server      string // its incarnation
+	Server      string // incarnation of the server
 	At          Time
-	// Shown is set when the run had shown an event: the server had begun with it before.
+	// Shown is set when the run had sent an event, so the server had started on it earlier.
 	Shown bool
-	// Distinct is set when it is known to have another cause than the end before.
+	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
 }
 
-// end is a server's end as one request saw it.
+// end is a server's end while it ran a request.
 type end struct {
-	server   string
-	at       Time
-	shown    bool
-	distinct bool // it has not the cause of the one before
+	server    string
+	at        Time
+	eventSeen bool
+	distinct  bool // known to have another cause than the previous end
 }
 
-// span is the time in which a server ended that ran nothing known here.
-type span struct{ from, to Time }
+// interval bounds the time at which a server ended while it ran no request known to this host.
+type interval struct{ from, to Time }
 
-// around reports whether the end may have been in the same moment as another one.
-func (s span) around(at Time) bool { return s.from-sameMoment <= at && at <= s.to+sameMoment }
+// mayCoincide reports whether the end may lie within correlationWindow of at.
+func (s interval) mayCoincide(at Time) bool {
+	return s.from-correlationWindow <= at && at <= s.to+correlationWindow
+}
 
-// serverEnd is a server's end and the requests that ran there.
+// serverEnd is a server's end and the requests that were running there.
 type serverEnd struct {
 	name     string
 	at       Time
 	requests map[Fingerprint]bool
 }
 
-// entry is what is known of one request.
+// entry holds the facts about one request.
 type entry struct {
 	account string
 	service string
-	ends    []end // in order of time
-	// since is when it was put there, by the host named; retryAt when it may be tried next.
-	quarantined bool
-	since       Time
-	by          string
-	retryAt     Time
-	trials      int // that ended a server
-	// progress is when a run was well on its way last.
-	progress Time
-	judged   judgment
+	ends    []end // ordered by time
+
+	quarantined   bool
+	quarantinedAt Time
+	quarantinedBy string // name of the host
+	retryAt       Time   // time of the next trial run
+	failedTrials  int    // trial runs that ended a server
+	progressAt    Time   // last call of Progress that was recorded
+	lastJudgment  judgment
 }
 
 func (e *entry) last() Time {
 	if len(e.ends) == 0 {
-		return e.since
+		return e.quarantinedAt
 	}
 	return e.ends[len(e.ends)-1].at
 }
 
-// Table is what one host knows. It is not safe for concurrent use.
+// Table holds the facts that one host knows. It is not safe for concurrent use.
 type Table struct {
-	host    string // its own name, for those it puts in quarantine
-	partial bool   // others know more; see SetPartial
-	lapse   Time   // see SetLapse
-	entries map[Fingerprint]*entry
-	servers map[string]*serverEnd
-	idle    map[string]span // ends of servers under which nothing known ran
-	// order has the servers by the time of their end, if sorted is set.
-	order   []*serverEnd
-	sorted  bool
-	cleared map[Fingerprint]Time // facts up to then do not count
-	news    map[Fingerprint]bool // changed since TakeNews
-	changes uint64               // of what is known
+	host     string // name of the owning host, recorded with requests it quarantines
+	partial  bool   // see SetPartial
+	entryTTL Time   // see SetLapse
+	entries  map[Fingerprint]*entry
+	servers  map[string]*serverEnd
+	idleEnds map[string]interval // ends of servers that ran no known request
+	// serversByEnd lists the servers ordered by the time of their end; valid if sorted is set.
+	serversByEnd []*serverEnd
+	sorted       bool
+	cleared      map[Fingerprint]Time // facts up to this time are ignored
+	unreported   map[Fingerprint]bool // changed since the last TakeNews
+	revision     uint64               // incremented with each change of the table
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		entries: map[Fingerprint]*entry{}, servers: map[string]*serverEnd{}, idle: map[string]span{},
-		cleared: map[Fingerprint]Time{}, news: map[Fingerprint]bool{}, changes: 1,
+		entries: map[Fingerprint]*entry{}, servers: map[string]*serverEnd{}, idleEnds: map[string]interval{},
+		cleared: map[Fingerprint]Time{}, unreported: map[Fingerprint]bool{}, revision: 1,
 	}
 }
 
-// SetHost names the host that owns the table.
+// SetHost sets the name of the host that owns the table.
 func (t *Table) SetHost(name string) { t.host = name }
 
-// SetLapse tells how long after a server's end its entry is listed, at most.
-func (t *Table) SetLapse(d Time) { t.lapse = d }
+// SetLapse sets the longest time for which a server stays listed after its end.
+func (t *Table) SetLapse(d Time) { t.entryTTL = d }
 
-// Has reports whether a server has ended under a request. It is quick: asked of each
-// request in the queue.
+// Has reports whether a server has ended under a request. It is cheap, since it is called for
+// each request in the queue.
 func (t *Table) Has(f Fingerprint) bool {
 	if len(t.entries) == 0 {
 		return false
@@ -145,7 +150,7 @@
 	return ok
 }
 
-// Add takes a fact and reports whether it is new.
+// Add adds a fact and reports whether it is new.
 func (t *Table) Add(now Time, l Loss) bool {
 	if !l.Fingerprint.Known() {
 		return false
@@ -155,32 +160,32 @@
 	}
 	e := t.entries[l.Fingerprint]
 	if e == nil {
-		t.makeRoom(now)
+		t.evictIfFull(now)
 		e = &entry{account: l.Account, service: l.Service}
 		t.entries[l.Fingerprint] = e
 	}
 	if i := slices.IndexFunc(e.ends, func(have end) bool { return have.server == l.Server }); i >= 0 {
-		e.ends[i].at = min(e.ends[i].at, l.At) // word that comes late tells a later time
+		e.ends[i].at = min(e.ends[i].at, l.At) // a late report carries a later time
 		e.ends[i].distinct = e.ends[i].distinct || l.Distinct
 		return false
 	}
-	e.ends = append(e.ends, end{server: l.Server, at: l.At, shown: l.Shown, distinct: l.Distinct})
+	e.ends = append(e.ends, end{server: l.Server, at: l.At, eventSeen: l.Shown, distinct: l.Distinct})
 	slices.SortStableFunc(e.ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-	if len(e.ends) > maxLosses {
+	if len(e.ends) > maxEndsPerRequest {
 		t.unlink(l.Fingerprint, e.ends[0].server)
 		e.ends = slices.Delete(e.ends, 0, 1)
 	}
-	t.endUnder(l)
+	t.addServerEnd(l)
 	if e.quarantined && l.At > e.retryAt {
-		e.trials++
-		e.retryAt = l.At + min(trialMost, firstTrial<<min(e.trials, 8))
+		e.failedTrials++
+		e.retryAt = l.At + min(maxQuarantine, initialQuarantine<<min(e.failedTrials, 8))
 	}
-	t.changed(l.Fingerprint)
+	t.markChanged(l.Fingerprint)
 	return true
 }
 
-// Clear drops what is known of a request: it has succeeded, or an operator released it.
-// It reports whether there was anything.
+// Clear drops the facts about a request that has succeeded or that an operator released.
+// It reports whether there were any.
 func (t *Table) Clear(now Time, f Fingerprint) bool {
 	if !t.Has(f) {
 		return false
@@ -190,22 +195,24 @@
 	return true
 }
 
-// setCleared notes a success or release. The notes of the last minutes are kept, to
-// maxEntries: a fact that comes so late counts as new, and needs two more like it.
+// setCleared records a success or release. At most maxEntries are stored, and those older than
+// endRetention make room first: a fact that arrives later than that counts as new, and
+// quarantine takes two more of them.
 func (t *Table) setCleared(at Time, f Fingerprint) {
 	if len(t.cleared) >= maxEntries {
-		maps.DeleteFunc(t.cleared, func(_ Fingerprint, old Time) bool { return at-old > memory })
+		maps.DeleteFunc(t.cleared, func(_ Fingerprint, old Time) bool { return at-old > endRetention })
 	}
 	if len(t.cleared) < maxEntries {
 		t.cleared[f] = at
 	}
-	t.changed(f)
+	t.markChanged(f)
 }
 
-// changed notes that something else is known of f, and so of those that ran beside it.
-func (t *Table) changed(f Fingerprint) {
-	t.news[f] = true
-	t.changes++
+// markChanged marks f as changed and invalidates all judgments, since requests that ran on the
+// same servers are affected too.
+func (t *Table) markChanged(f Fingerprint) {
+	t.unreported[f] = true
+	t.revision++
 }
 
 func (t *Table) drop(f Fingerprint) {
@@ -223,8 +230,8 @@
 	}
 }
 
-// endUnder notes that a server ended as it ran a request.
-func (t *Table) endUnder(l Loss) {
+// addServerEnd records that a server ended while it ran a request.
+func (t *Table) addServerEnd(l Loss) {
 	ended := t.servers[l.Server]
 	if ended == nil {
 		if len(t.servers) >= maxServers {
@@ -239,52 +246,53 @@
 		t.sorted = false
 	}
 	ended.requests[l.Fingerprint] = true
-	delete(t.idle, l.Server)
+	delete(t.idleEnds, l.Server)
 }
 
-// EndedIdle notes that a server has ended between two moments, with nothing known running
-// there. Told again it narrows the time.
+// EndedIdle records that a server ended between two times while it ran no known request.
+// Further calls for the server narrow the interval.
 func (t *Table) EndedIdle(server string, from, to Time) {
 	if t.servers[server] != nil {
 		return
 	}
-	if have, ok := t.idle[server]; ok {
+	if have, ok := t.idleEnds[server]; ok {
 		from, to = max(from, have.from), min(to, have.to)
 	}
-	if len(t.idle) >= maxServers {
-		maps.DeleteFunc(t.idle, func(_ string, s span) bool { return to-s.to > memory })
+	if len(t.idleEnds) >= maxServers {
+		maps.DeleteFunc(t.idleEnds, func(_ string, s interval) bool { return to-s.to > endRetention })
 	}
-	if len(t.idle) < maxServers {
-		t.idle[server] = span{from: from, to: to}
-		t.changes++
+	if len(t.idleEnds) < maxServers {
+		t.idleEnds[server] = interval{from: from, to: to}
+		t.revision++
 	}
 }
 
-// endsAround lists the servers that ended within sameMoment of a moment.
+// endsAround lists the servers that ended within correlationWindow of at.
 func (t *Table) endsAround(at Time) []*serverEnd {
 	if !t.sorted {
 		t.sorted = true
-		t.order = slices.AppendSeq(t.order[:0], maps.Values(t.servers))
-		slices.SortFunc(t.order, func(a, b *serverEnd) int { return cmp.Compare(a.at, b.at) })
+		t.serversByEnd = slices.AppendSeq(t.serversByEnd[:0], maps.Values(t.servers))
+		slices.SortFunc(t.serversByEnd, func(a, b *serverEnd) int { return cmp.Compare(a.at, b.at) })
 	}
 	byTime := func(s *serverEnd, at Time) int { return cmp.Compare(s.at, at) }
-	from, _ := slices.BinarySearchFunc(t.order, at-sameMoment, byTime)
-	to, _ := slices.BinarySearchFunc(t.order, at+sameMoment+1, byTime)
-	return t.order[from:to]
+	from, _ := slices.BinarySearchFunc(t.serversByEnd, at-correlationWindow, byTime)
+	to, _ := slices.BinarySearchFunc(t.serversByEnd, at+correlationWindow+1, byTime)
+	return t.serversByEnd[from:to]
 }
 
-// makeRoom keeps the table bounded: it drops what is old, and then the oldest of the
-// account that has most.
+// evictIfFull keeps the table bounded: it drops expired entries, and then the oldest entry of
+// the account that has most of them.
 //
-// Guard: a caller that changes a byte each time fills the table. It pushes out its own
-// requests and not those of others, and so can neither free theirs nor have them refused.
-func (t *Table) makeRoom(now Time) {
+// A caller that changes one byte in each request would otherwise fill the table and evict the
+// entries of other accounts. As it is, it evicts its own, so it can neither release the
+// requests of others nor have them refused.
+func (t *Table) evictIfFull(now Time) {
 	if len(t.entries) < maxEntries {
 		return
 	}
 	counts := map[string]int{}
 	for f, e := range t.entries {
-		if !e.quarantined && now-e.last() > memory {
+		if !e.quarantined && now-e.last() > endRetention {
 			t.drop(f)
 			continue
 		}
@@ -293,26 +301,27 @@
 	if len(t.entries) < maxEntries {
 		return
 	}
-	var most string
+	var largest string
 	for account, n := range counts {
-		if n > counts[most] || n == counts[most] && account < most {
-			most = account
+		if n > counts[largest] || n == counts[largest] && account < largest {
+			largest = account
 		}
 	}
 	var oldest Fingerprint
 	for f, e := range t.entries {
-		if e.account != most {
+		if e.account != largest {
 			continue
 		}
-		if old := t.entries[oldest]; old == nil || e.lessThan(old) {
+		if old := t.entries[oldest]; old == nil || e.evictBefore(old) {
 			oldest = f
 		}
 	}
 	t.drop(oldest)
 }
 
-// lessThan orders what is dropped first: what is not in quarantine, then what is old.
-func (e *entry) lessThan(other *entry) bool {
+// evictBefore reports whether e is evicted before other: entries outside quarantine come
+// first, then older ones.
+func (e *entry) evictBefore(other *entry) bool {
 	if e.quarantined != other.quarantined {
 		return !e.quarantined
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	return Of("POST", "h", "/p", account, fmt.Append(nil, n))
 }
 
-// peers are servers of which one is well or none, and some may have ended unnoticed.
+// peers is a service of which one server or none answers, and some may have ended unnoticed.
 type peers struct {
 	well   bool
 	unseen int
@@ -30,20 +30,20 @@
 func (p peers) Unseen(Time) int { return p.unseen }
 
 var (
-	always = peers{well: true}
-	never  = peers{}
+	answering = peers{well: true}
+	silent    = peers{}
 )
 
-// end has a server end under requests.
-func (t *Table) end(at Time, server string, prints ...Fingerprint) {
-	for _, f := range prints {
+// end records a server's end under requests.
+func (t *Table) end(at Time, server string, fingerprints ...Fingerprint) {
+	for _, f := range fingerprints {
 		t.Add(at, Loss{Fingerprint: f, Account: "a", Service: "s", Server: server, At: at})
 	}
 }
 
 var (
-	poison = request("a", 0)
-	beside = request("a", 1)
+	poison   = request("a", 0)
+	ordinary = request("a", 1)
 )
 
 var _ = Describe("judging requests under which servers ended", func() {
@@ -53,60 +53,60 @@
 		t.SetHost("front-1")
 	})
 
-	It("blames one at the third end, and not before", func() {
+	It("quarantines a request at the third end, and not before", func() {
 		t.end(0, "e1", poison)
-		Expect(t.Judge(time.Second, poison, always)).To(Equal(Suspect))
+		Expect(t.Judge(time.Second, poison, answering)).To(Equal(Suspect))
 		t.end(2*time.Second, "e2", poison)
-		Expect(t.Judge(3*time.Second, poison, always)).To(Equal(Isolated))
+		Expect(t.Judge(3*time.Second, poison, answering)).To(Equal(Isolated))
 		t.end(4*time.Second, "e3", poison)
-		Expect(t.Judge(5*time.Second, poison, always)).To(Equal(Quarantined))
-		Expect(t.RetryIn(5*time.Second, poison)).To(Equal(firstTrial))
+		Expect(t.Judge(5*time.Second, poison, answering)).To(Equal(Quarantined))
+		Expect(t.RetryIn(5*time.Second, poison)).To(Equal(initialQuarantine))
 	})
 
-	// Story: a caller's answer is cut off with its engine. It comes again and lands beside
-	// the poison request again, and again: one engine is left for all. It was there as often as
-	// the poison request but for the first time.
-	It("does not blame one that comes again beside the poison request", func() {
+	// An ordinary request is cut off when its engine ends, and each retry runs beside the poison
+	// request again, since one engine is left for all. It is present at all ends but the first
+	// and must not be taken for the cause.
+	It("does not quarantine a request whose retries run beside the poison request", func() {
 		t.end(0, "e1", poison)
 		for i := range 6 {
 			at := time.Duration(i+2) * time.Second
-			t.end(at, fmt.Sprint("e", i+2), poison, beside)
-			Expect(t.Judge(at+500*time.Millisecond, beside, always)).To(BeNumerically("<", Quarantined))
+			t.end(at, fmt.Sprint("e", i+2), poison, ordinary)
+			Expect(t.Judge(at+500*time.Millisecond, ordinary, answering)).To(BeNumerically("<", Quarantined))
 		}
 	})
 
-	// Story: a rack ends, seconds later another, and then all servers. Some request is on
-	// one of them each time; it was refused at its fourth try.
-	It("blames nobody for servers that end together", func() {
+	// A rack fails, seconds later another one, and then all servers. A request that happens to
+	// run on one of them each time was refused at its fourth attempt.
+	It("quarantines no request for servers that end together", func() {
 		for round := range 5 {
 			at := time.Duration(round) * 4 * time.Second
 			for i := range 4 {
 				t.end(at+time.Duration(i)*20*time.Millisecond, fmt.Sprint("e", round, i), request("a", 100*round+i))
 			}
-			t.end(at, fmt.Sprint("e", round, 0), beside)
-			Expect(t.Judge(at+time.Second, beside, always)).To(Equal(Suspect))
+			t.end(at, fmt.Sprint("e", round, 0), ordinary)
+			Expect(t.Judge(at+time.Second, ordinary, answering)).To(Equal(Suspect))
 		}
 	})
 
-	// Story: all engines of a service end at once, three times. Two are busy with the same
-	// caller's answers each time; that the idle ones have ended shows when their entries
-	// lapse, seconds later. The caller's request was refused as the cause meanwhile.
-	It("waits for what the entries of idle servers tell", func() {
+	// All engines of a service end at once, three times. Two of them run the same caller's
+	// request each time; the ends of the idle ones are noticed seconds later, when their entries
+	// expire. Until then the request was refused as the cause.
+	It("waits until the entries of idle servers may have expired", func() {
 		const lapse = 4 * time.Second
 		t.SetLapse(lapse)
 		idle := peers{well: true, unseen: 2}
 		for round := range 3 {
 			at := time.Duration(round) * 10 * time.Second
-			t.end(at, fmt.Sprint("busy", round), beside)
-			Expect(t.Judge(at+lapse-time.Second, beside, idle)).To(BeNumerically("<", Quarantined))
+			t.end(at, fmt.Sprint("busy", round), ordinary)
+			Expect(t.Judge(at+lapse-time.Second, ordinary, idle)).To(BeNumerically("<", Quarantined))
 			for i := range 2 {
 				t.EndedIdle(fmt.Sprint("idle", round, i), at-time.Second, at+lapse)
 			}
-			Expect(t.Judge(at+lapse+time.Second, beside, always)).To(BeNumerically("<", Quarantined))
+			Expect(t.Judge(at+lapse+time.Second, ordinary, answering)).To(BeNumerically("<", Quarantined))
 		}
 	})
 
-	It("waits for them no longer than they take, nor when there are none", func() {
+	It("stops waiting when the entries must have expired, and does not wait without idle servers", func() {
 		t.SetLapse(4 * time.Second)
 		for i := range 3 {
 			t.end(time.Duration(2*i)*time.Second, fmt.Sprint("e", i), poison)
@@ -116,76 +116,76 @@
 		Expect(t.Judge(9*time.Second, poison, idle)).To(Equal(Quarantined))
 	})
 
-	// Story: all three servers of a service end one after the other within half a second.
-	// A request that goes from one to the next is there each time, alone.
+	// All three servers of a service end one after the other within half a second. A request
+	// that is retried on one after the other is the only one present at each end.
 	It("counts ends in quick succession once when no server is left", func() {
 		for i := range 3 {
-			t.end(time.Duration(i)*150*time.Millisecond, fmt.Sprint("e", i), beside)
+			t.end(time.Duration(i)*150*time.Millisecond, fmt.Sprint("e", i), ordinary)
 		}
-		Expect(t.Judge(400*time.Millisecond, beside, never)).To(Equal(Wait))
-		Expect(t.Judge(3*time.Second, beside, never)).To(Equal(Isolated))
+		Expect(t.Judge(400*time.Millisecond, ordinary, silent)).To(Equal(Wait))
+		Expect(t.Judge(3*time.Second, ordinary, silent)).To(Equal(Isolated))
 	})
 
-	It("prefers the one that had shown nothing yet", func() {
+	It("suspects the request that had sent no event yet", func() {
 		for i := range 3 {
 			at, server := time.Duration(i)*3*time.Second, fmt.Sprint("e", i)
-			t.Add(at, Loss{Fingerprint: beside, Server: server, At: at, Shown: true})
+			t.Add(at, Loss{Fingerprint: ordinary, Server: server, At: at, Shown: true})
 			t.Add(at, Loss{Fingerprint: poison, Server: server, At: at})
 		}
-		Expect(t.Judge(9*time.Second, poison, always)).To(Equal(Quarantined))
-		Expect(t.Judge(9*time.Second, beside, always)).To(Equal(Suspect))
+		Expect(t.Judge(9*time.Second, poison, answering)).To(Equal(Quarantined))
+		Expect(t.Judge(9*time.Second, ordinary, answering)).To(Equal(Suspect))
 	})
 
-	// Story: plain checks of one caller are alike in all. A server ends, and checks wait
-	// in a line, one at a time, though each takes a moment and all end well.
-	It("frees one that succeeds, and those alike once one is well on its way", func() {
-		t.end(0, "e1", beside)
-		t.end(2*time.Second, "e2", beside)
-		Expect(t.Clear(3*time.Second, beside)).To(BeTrue())
-		Expect(t.Judge(3*time.Second, beside, always)).To(Equal(Free))
-		t.end(2*time.Second, "e3", beside) // word of an end before the success
-		Expect(t.Judge(3*time.Second, beside, always)).To(Equal(Free))
+	// All checks of one caller are identical requests. After the end of a server they ran one at
+	// a time, although each is short and all succeed.
+	It("clears a request that succeeds, and lifts the restriction once a run makes progress", func() {
+		t.end(0, "e1", ordinary)
+		t.end(2*time.Second, "e2", ordinary)
+		Expect(t.Clear(3*time.Second, ordinary)).To(BeTrue())
+		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Free))
+		t.end(2*time.Second, "e3", ordinary) // a late report of an end before the success
+		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Free))
 
-		t.end(4*time.Second, "e4", beside)
-		t.Progress(5*time.Second, beside)
-		Expect(t.Judge(5*time.Second, beside, always)).To(Equal(Free))
-		t.end(6*time.Second, "e5", beside)
-		Expect(t.Judge(7*time.Second, beside, always)).To(Equal(Isolated))
+		t.end(4*time.Second, "e4", ordinary)
+		t.Progress(5*time.Second, ordinary)
+		Expect(t.Judge(5*time.Second, ordinary, answering)).To(Equal(Free))
+		t.end(6*time.Second, "e5", ordinary)
+		Expect(t.Judge(7*time.Second, ordinary, answering)).To(Equal(Isolated))
 	})
 
-	It("lets one be tried when its time is over, later each time", func() {
+	It("allows a trial run after the quarantine, which doubles each time", func() {
 		for i := range 3 {
 			t.end(time.Duration(i)*2*time.Second, fmt.Sprint("e", i), poison)
 		}
-		Expect(t.Judge(5*time.Second, poison, always)).To(Equal(Quarantined))
-		at := 5*time.Second + firstTrial
-		Expect(t.Judge(at, poison, always)).To(Equal(Isolated))
+		Expect(t.Judge(5*time.Second, poison, answering)).To(Equal(Quarantined))
+		at := 5*time.Second + initialQuarantine
+		Expect(t.Judge(at, poison, answering)).To(Equal(Isolated))
 		t.end(at+time.Second, "again", poison)
-		Expect(t.Judge(at+2*time.Second, poison, always)).To(Equal(Quarantined))
-		Expect(t.RetryIn(at+time.Second, poison)).To(Equal(2 * firstTrial))
+		Expect(t.Judge(at+2*time.Second, poison, answering)).To(Equal(Quarantined))
+		Expect(t.RetryIn(at+time.Second, poison)).To(Equal(2 * initialQuarantine))
 	})
 
-	// Story: a caller changes a byte each time. The table fills, and what is known of
-	// another account's request is pushed out, which then ends servers again.
-	It("stays bounded, and one account cannot push out another's", func() {
+	// A caller that changes one byte in each request fills the table. If that evicted the entry
+	// of another account's poison request, the latter would end servers again.
+	It("stays bounded, and no account can evict another's entries", func() {
 		for i := range 3 {
 			t.Add(0, Loss{Fingerprint: poison, Account: "other", Server: fmt.Sprint("e", i), At: time.Duration(i) * 2 * time.Second})
 		}
-		Expect(t.Judge(6*time.Second, poison, always)).To(Equal(Quarantined))
+		Expect(t.Judge(6*time.Second, poison, answering)).To(Equal(Quarantined))
 		for i := range 3 * maxEntries {
 			at := 10*time.Second + time.Duration(i)*time.Millisecond
 			t.Add(at, Loss{Fingerprint: request("flood", i), Account: "flood", Server: fmt.Sprint("f", i), At: at})
 		}
 		Expect(len(t.entries)).To(BeNumerically("<=", maxEntries))
 		Expect(len(t.servers)).To(BeNumerically("<=", maxServers+maxEntries))
-		Expect(t.Judge(time.Minute, poison, always)).To(Equal(Quarantined))
+		Expect(t.Judge(time.Minute, poison, answering)).To(Equal(Quarantined))
 	})
 
-	// Story: hosts tell each other what they know while the home changes. Word comes twice,
-	// late and out of order, and each host must come to the same end.
-	It("comes to the same end in whatever order word comes", func() {
+	// Hosts exchange records while the home changes. Records arrive twice, late and out of order,
+	// and all hosts must reach the same result.
+	It("reaches the same result in whatever order records arrive", func() {
 		rapid.Check(GinkgoT(), func(r *rapid.T) {
-			var told []Record
+			var records []Record
 			now := Time(0)
 			home := NewTable()
 			for i := range rapid.IntRange(1, 12).Draw(r, "steps") {
@@ -196,57 +196,57 @@
 				} else {
 					home.end(now, fmt.Sprint("e", i), f)
 				}
-				home.Judge(now+time.Second, f, always)
+				home.Judge(now+time.Second, f, answering)
 			}
-			told = append(told, home.All(now)...)
-			told = append(told, home.All(now)...)
+			records = append(records, home.All(now)...)
+			records = append(records, home.All(now)...)
 			inOrder, shuffled := NewTable(), NewTable()
-			for _, record := range told {
+			for _, record := range records {
 				inOrder.Merge(now, record)
 			}
 			seed := rapid.Uint64().Draw(r, "order")
-			rand.New(rand.NewPCG(seed, 0)).Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-			for _, record := range told {
+			rand.New(rand.NewPCG(seed, 0)).Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
+			for _, record := range records {
 				shuffled.Merge(now, record)
 			}
 			for i := range 3 {
 				f := request("a", i)
-				if inOrder.Judge(now+2*time.Second, f, always) != shuffled.Judge(now+2*time.Second, f, always) {
+				if inOrder.Judge(now+2*time.Second, f, answering) != shuffled.Judge(now+2*time.Second, f, answering) {
 					r.Fatalf("request %d: %v and %v", i, inOrder.Record(now, f), shuffled.Record(now, f))
 				}
 			}
 		})
 	})
 
-	// Story: three engines end under a request within a second while others answer. The home
-	// is lost; the next one did not see who answered then, and sent the request on.
-	It("tells another host which ends have a cause of their own", func() {
+	// Three engines end under a request within a second while others answer. The home is lost;
+	// the next one did not see which servers answered then, and still ran the request.
+	It("reports to another host which ends have separate causes", func() {
 		for i := range 3 {
 			t.end(time.Duration(i)*300*time.Millisecond, fmt.Sprint("e", i), poison)
-			Expect(t.Judge(time.Duration(i)*300*time.Millisecond+250*time.Millisecond, poison, always)).To(BeNumerically(">", Free))
+			Expect(t.Judge(time.Duration(i)*300*time.Millisecond+250*time.Millisecond, poison, answering)).To(BeNumerically(">", Free))
 		}
 		next := NewTable()
 		for _, f := range t.All(time.Second) {
-			f.Quarantined = false // as when the home is lost before it could tell
+			f.Quarantined = false // the home is lost before it could report the quarantine
 			next.Merge(time.Second, f)
 		}
-		Expect(next.Judge(3*time.Second, poison, never)).To(Equal(Quarantined))
+		Expect(next.Judge(3*time.Second, poison, silent)).To(Equal(Quarantined))
 	})
 
-	It("drops what an operator has released, and word from before it", func() {
+	It("drops the facts about a request that an operator released, and late reports of them", func() {
 		for i := range 3 {
 			t.end(time.Duration(i)*2*time.Second, fmt.Sprint("e", i), poison)
 		}
-		Expect(t.Judge(6*time.Second, poison, always)).To(Equal(Quarantined))
+		Expect(t.Judge(6*time.Second, poison, answering)).To(Equal(Quarantined))
 		stale := t.Record(6*time.Second, poison)
 		t.Merge(7*time.Second, Record{Fingerprint: poison, Cleared: true})
-		Expect(t.Judge(7*time.Second, poison, always)).To(Equal(Free))
+		Expect(t.Judge(7*time.Second, poison, answering)).To(Equal(Free))
 		stale.Age += 2 * time.Second
 		for i := range stale.Ends {
 			stale.Ends[i].Age += 2 * time.Second
 		}
 		t.Merge(8*time.Second, stale)
-		Expect(t.Judge(8*time.Second, poison, always)).To(Equal(Free))
+		Expect(t.Judge(8*time.Second, poison, answering)).To(Equal(Free))
 	})
 })
 
@@ -262,7 +262,7 @@
 			Expect(other).NotTo(Equal(base))
 		}
 	})
-	It("are read as they are written", func() {
+	It("are parsed from the form in which they are written", func() {
 		f, ok := Parse(poison.String())
 		Expect(ok).To(BeTrue())
 		Expect(f).To(Equal(poison))
@@ -274,7 +274,7 @@
 })
 
 var _ = Describe("rows of the store", func() {
-	It("tell what a record tells", func() {
+	It("hold the contents of a record", func() {
 		now := time.UnixMilli(1_000_000_000_000)
 		row := RowOf(now, Record{Account: "a", Service: "s", By: "front-1", Age: time.Second, RetryIn: time.Minute, Ends: []End{{Server: "e1"}}})
 		text, err := row.Encode()
@@ -284,10 +284,10 @@
 		Expect(f).To(Equal(poison))
 		r := again.Record(now.Add(time.Second), f)
 		Expect(r).To(And(HaveField("Quarantined", true), HaveField("Age", 2*time.Second), HaveField("RetryIn", 59*time.Second)))
-		// The clock of the host that wrote it is ahead.
+		// The clock of the host that wrote the row is ahead.
 		Expect(again.Record(now.Add(-time.Hour), f).Age).To(BeZero())
 	})
-	DescribeTable("are refused when they are somebody else's", func(key, value string) {
+	DescribeTable("are refused when they are malformed", func(key, value string) {
 		_, _, err := DecodeRow(key, []byte(value))
 		Expect(err).To(HaveOccurred())
 	},
