--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout carries the roll-out of a service's new version: it decides how much of
-// the traffic the new servers are tried with, judges their answers beside those of the old
-// ones, and tells when the service is moved to them or they are taken back.
+// Package rollout controls the roll-out of a service's new version as a canary release: it
+// decides how much traffic the new servers get, compares their answers with those of the old
+// servers, and decides when the service moves to the new version or is rolled back.
 //
 // The package is pure: it reads no clock and does no I/O. One scheduler owns a Trial.
 package rollout
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Time is a moment on the monotonic clock of the process that owns the trial.
+// Time is a time on the monotonic clock of the process that owns the trial.
 type Time = time.Duration
 
 // Order is an operator's order to move a service to a version.
 type Order struct {
 	Service string
-	To      string        // the version
-	Lasts   time.Duration // from the order to its deadline
-	Row     int64         // version of the order's row; a newer one replaces it
+	To      string        // version to move to
+	Lasts   time.Duration // time from the order to its deadline
+	Row     int64         // version of the order's row in the store; a newer one replaces the order
 }
 
-// Check tells what is wrong with an order, empty when nothing is.
+// Check describes what is wrong with an order; empty if it is valid.
 func (o Order) Check() string {
 	switch {
 	case o.Service == "":
@@ -33,29 +33,29 @@
 	return ""
 }
 
-// State is how far a roll-out got, as operators are told.
+// State is the progress of a roll-out as shown to operators.
 type State uint8
 
 // The states of a roll-out.
 const (
-	// Running: the new version is tried, or the service is being moved.
+	// Running means that the new version is on trial or the service is being moved to it.
 	Running State = iota
-	// Completed: the service is served by the new version; the old servers stop.
+	// Completed means that the new version serves the service; the old servers stop.
 	Completed
-	// RolledBack: the new version gets nothing; its servers drain.
+	// RolledBack means that the new version gets no requests; its servers drain.
 	RolledBack
 )
 
-// Over reports whether nothing more is decided.
+// Over reports whether the state is final.
 func (s State) Over() bool { return s != Running }
 
-// Bounds are what the platform allows a version that turns out to be bad.
+// Bounds limit the requests that a version that turns out to be bad may get.
 type Bounds struct {
-	// Share is the part of the requests that reach the service from the order to its
-	// deadline, and Slack the number beyond it, that a bad version may get.
+	// Share is the fraction of the requests that reach the service from the order to its
+	// deadline, and Slack the number of requests on top of it.
 	Share float64
 	Slack float64
 }
 
-// DefaultBounds hold where the platform tells none.
+// DefaultBounds returns the bounds that apply if the platform sets none.
 func DefaultBounds() Bounds { return Bounds{Share: 0.05, Slack: 20} }
--- a/internal/rollout/samples.go
+++ b/internal/rollout/samples.go
@@ -2,150 +2,149 @@
 
 import "math"
 
-// Sample is how one answer of a server went.
+// Sample describes one answer of a server.
 type Sample struct {
 	Route  string
 	Server string
-	New    bool // of the version that is tried
-	Failed bool // a failure, or an answer that was cut off or spoilt
-	// Took is how long the answer took against what such an answer is expected to take,
-	// 1 for as long; 0 when it is not known.
+	New    bool // the server runs the version on trial
+	Failed bool // the answer was a failure, cut off or corrupt
+	// Took is the duration of the answer divided by the expected duration of such an answer, 1
+	// if both are equal; 0 if it is unknown.
 	Took float64
 }
 
 const (
-	// slowFrom is how many times the usual an answer takes that counts as slow. Lower, it is
-	// common among servers that differ threefold in speed; higher, a version three times
-	// slower on fast servers is moved to.
-	slowFrom = 2.2
-	// kept is how many answers of the new version a verdict looks back on.
-	kept = 1024
-	// steady and recent are how many answers of the old version tell what is usual: enough
-	// to know the share of bad ones within a hundredth, and few enough to follow a trouble
-	// that both versions have.
-	steady = 1000
-	recent = 100
+	// slowFactor is the ratio to the baseline duration from which an answer counts as slow. With
+	// a lower one, slow answers are common among servers that differ threefold in speed; with
+	// a higher one, a version that is three times slower on fast servers passes.
+	slowFactor = 2.2
+	// maxStoredAnswers is the number of answers of the new version that a verdict is based on.
+	maxStoredAnswers = 1024
+	// longWindow and shortWindow are the numbers of answers of the old version over which the
+	// baseline is averaged: the first is enough to estimate the share of bad answers to within
+	// a hundredth, the second small enough to follow a failure that affects both versions.
+	longWindow  = 1000
+	shortWindow = 100
 )
 
-// mean is a moving mean of the newest answers.
-type mean struct{ n, value float64 }
+// movingMean is a moving mean over the newest values.
+type movingMean struct{ n, value float64 }
 
-func (m *mean) add(x, most float64) {
-	m.n = min(most, m.n+1)
+func (m *movingMean) add(x, window float64) {
+	m.n = min(window, m.n+1)
 	m.value += (x - m.value) / m.n
 }
 
-// fault is a way in which an answer is bad. Each is judged by itself: the old version's slow
-// answers would hide a new one's failures.
+// fault is a way in which an answer is bad. Each one is judged separately, since slow answers of
+// the old version would otherwise hide failures of the new one.
 type fault int
 
 const (
 	failing fault = iota
 	slow
-	faults
+	faultCount
 )
 
-func (f fault) String() string { return [faults]string{"failed", "slow"}[f] }
+func (f fault) String() string { return [faultCount]string{"failed", "slow"}[f] }
 
-// leastBad is the share of bad answers that says nothing: a connection that breaks, a server
-// that is slow for a moment.
-var leastBad = [faults]float64{failing: 0.005, slow: 0.01}
+// noiseShare is the share of bad answers that is tolerated as noise, such as a broken connection
+// or a server that is slow for a moment.
+var noiseShare = [faultCount]float64{failing: 0.005, slow: 0.01}
 
-// usual is what the old version's answers on one route are like.
-type usual struct {
-	answers float64
-	bad     [faults]mean // share of the answers
-	newest  [faults]mean // the same of a few
-	took    mean         // logarithm of Took, of those that did not fail
+// baseline holds statistics of the old version's answers on one route.
+type baseline struct {
+	answers   float64
+	bad       [faultCount]movingMean // share of bad answers over longWindow
+	recentBad [faultCount]movingMean // the same over shortWindow
+	logTook   movingMean             // logarithm of Took of answers that did not fail
 }
 
-// faultsOf tells in which ways an answer is bad.
-func (u *usual) faultsOf(s Sample) (out [faults]bool) {
+// faultsOf returns the ways in which an answer is bad.
+func (b *baseline) faultsOf(s Sample) (out [faultCount]bool) {
 	out[failing] = s.Failed
-	out[slow] = s.Took > 0 && u.took.n > 0 && math.Log(s.Took)-u.took.value > math.Log(slowFrom)
+	out[slow] = s.Took > 0 && b.logTook.n > 0 && math.Log(s.Took)-b.logTook.value > math.Log(slowFactor)
 	return out
 }
 
-func (u *usual) add(s Sample) {
-	for f, bad := range u.faultsOf(s) {
+func (b *baseline) add(s Sample) {
+	for f, bad := range b.faultsOf(s) {
 		x := 0.0
 		if bad {
 			x = 1
 		}
-		u.bad[f].add(x, steady)
-		u.newest[f].add(x, recent)
+		b.bad[f].add(x, longWindow)
+		b.recentBad[f].add(x, shortWindow)
 	}
 	if s.Took > 0 && !s.Failed {
-		u.took.add(math.Log(s.Took), recent)
+		b.logTook.add(math.Log(s.Took), shortWindow)
 	}
 }
 
-// expected is the share of bad answers that a sound version may well show on the route.
-func (u *usual) expected(f fault) float64 {
-	n, share := max(1, u.bad[f].n), u.bad[f].value
-	return min(1, max(share+2*math.Sqrt(share*(1-share)/n), u.newest[f].value)+leastBad[f])
+// expected returns an upper estimate of the share of bad answers of a sound version on the route.
+func (b *baseline) expected(f fault) float64 {
+	n, share := max(1, b.bad[f].n), b.bad[f].value
+	return min(1, max(share+2*math.Sqrt(share*(1-share)/n), b.recentBad[f].value)+noiseShare[f])
 }
 
-// seen is an answer of the new version as it was judged when it came.
-type seen struct {
+// judgedAnswer is an answer of the new version with its assessment at the time it arrived.
+type judgedAnswer struct {
 	route    string
 	server   string
-	bad      [faults]bool
-	expected [faults]float64 // chance that a sound version's answer is bad there
+	bad      [faultCount]bool
+	expected [faultCount]float64 // probability that a sound version's answer is bad
 }
 
-func (s seen) isBad() bool { return s.bad[failing] || s.bad[slow] }
+func (s judgedAnswer) isBad() bool { return s.bad[failing] || s.bad[slow] }
 
-// samples holds what is known of both versions.
+// samples holds the answers of both versions.
 type samples struct {
-	usual map[string]*usual // by route
-	// usualAnswers is how many answers of the old version there were in all.
-	usualAnswers float64
-	list         []seen // of the new version, a ring once it is full
-	next         int
-	n            int // of the new version in all
-	bad          int
+	baselines       map[string]*baseline // by route
+	baselineAnswers float64              // number of answers of the old version
+	newAnswers      []judgedAnswer       // of the new version; a ring buffer once it is full
+	next            int
+	n               int // number of answers of the new version
+	bad             int // number of bad ones among them
 }
 
-func newSamples() samples { return samples{usual: map[string]*usual{}} }
+func newSamples() samples { return samples{baselines: map[string]*baseline{}} }
 
-// add takes an answer and reports whether it is a bad one of the new version.
-func (s *samples) add(one Sample) (isBad bool) {
-	u := s.usual[one.Route]
-	if u == nil {
-		u = &usual{}
-		s.usual[one.Route] = u
+// add adds an answer and reports whether it is a bad one of the new version.
+func (s *samples) add(sample Sample) (isBad bool) {
+	b := s.baselines[sample.Route]
+	if b == nil {
+		b = &baseline{}
+		s.baselines[sample.Route] = b
 	}
-	if !one.New {
-		s.usualAnswers++
-		u.answers++
-		u.add(one)
+	if !sample.New {
+		s.baselineAnswers++
+		b.answers++
+		b.add(sample)
 		return false
 	}
-	// Before the old version has answered there is nothing to compare a time with.
-	got := seen{route: one.Route, server: one.Server, bad: u.faultsOf(one)}
-	for f := range faults {
-		got.expected[f] = u.expected(f)
+	// Until the old version has answered, there is no duration to compare with.
+	judged := judgedAnswer{route: sample.Route, server: sample.Server, bad: b.faultsOf(sample)}
+	for f := range faultCount {
+		judged.expected[f] = b.expected(f)
 	}
 	s.n++
-	if got.isBad() {
+	if judged.isBad() {
 		s.bad++
 	}
-	if len(s.list) < kept {
-		s.list = append(s.list, got)
-		return got.isBad()
+	if len(s.newAnswers) < maxStoredAnswers {
+		s.newAnswers = append(s.newAnswers, judged)
+		return judged.isBad()
 	}
-	s.list[s.next] = got
-	s.next = (s.next + 1) % kept
-	return got.isBad()
+	s.newAnswers[s.next] = judged
+	s.next = (s.next + 1) % maxStoredAnswers
+	return judged.isBad()
 }
 
-// newest calls f for the newest answers of the new version, newest first, until it returns
+// newest calls f for the stored answers of the new version, newest first, until f returns
 // false.
-func (s *samples) newest(f func(seen) bool) {
-	for i := range s.list {
-		at := (s.next - 1 - i + 2*len(s.list)) % len(s.list)
-		if !f(s.list[at]) {
+func (s *samples) newest(f func(judgedAnswer) bool) {
+	for i := range s.newAnswers {
+		at := (s.next - 1 - i + 2*len(s.newAnswers)) % len(s.newAnswers)
+		if !f(s.newAnswers[at]) {
 			return
 		}
 	}
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -12,7 +12,7 @@
 // Phase is a state of the chart of a roll-out.
 type Phase = chart.State
 
-// The phases of a trial; the chart file tells what each is.
+// The phases of a trial; the chart file describes them.
 const (
 	Trying     Phase = "trying"
 	Paused     Phase = "paused"
@@ -32,81 +32,82 @@
 	evReplaced chart.Event = "replace"
 )
 
-var lifeOfTrial = charts.MustLoad().Rollout
+var trialChart = charts.MustLoad().Rollout
 
 const (
-	// tryShare is the part of the bounds that a version is tried with. The rest is for
-	// the time between the move and the deadline, in which it gets everything.
-	tryShare = 0.5
-	// moveShare is the part of the bounds that both together may reach, should the version
-	// turn out to be bad after the move.
-	moveShare = 0.9
-	// pulse is how many requests a new server is given at once, in times of its slots: a
-	// version that is bad under load only would never show it under a twentieth of the
-	// traffic, spread evenly.
-	pulse = 3
-	// pulseFor is how long a server has the turn at most.
-	pulseFor = 2 * time.Second
-	// proof is how many answers must have come before the service is moved.
-	proof = 40
-	// routeLead is how many more tries a route may have than another one, beyond half as
-	// many again: a version may be bad on a route that few requests take.
-	routeLead = 6
-	// routeShare is the part of the answers from which a route is waited for.
-	routeShare = 0.05
-	// settle is left between the end of the old servers' work and the deadline, for the
-	// word to reach the store.
-	settle = 400 * time.Millisecond
+	// trialShare is the fraction of the bounds that the trial may use. The rest is for the time
+	// between the move and the deadline, in which the new version gets all requests.
+	trialShare = 0.5
+	// trialAndMoveShare is the fraction of the bounds that the trial and the time from the move
+	// to the deadline may use together, in case the version turns out to be bad after the move.
+	trialAndMoveShare = 0.9
+	// burstPerSlot is the number of requests that a new server gets in one turn, as a multiple
+	// of its slots: a version that fails only under load would not show it under a twentieth of
+	// the traffic, spread evenly.
+	burstPerSlot = 3
+	// maxTurnTime is the longest turn of a server.
+	maxTurnTime = 2 * time.Second
+	// minAnswersToMove is the number of answers of the new version that a move requires.
+	minAnswersToMove = 40
+	// maxRouteLead is how many tries a route may be ahead of another one, in addition to half the
+	// tries of that one: a version may be bad on a route that few requests take.
+	maxRouteLead = 6
+	// minRouteShare is the share of all answers below which other routes do not wait for a route.
+	minRouteShare = 0.05
+	// storeWriteMargin is the time between the end of the old servers' runs and the deadline that
+	// is left for writing the result to the store.
+	storeWriteMargin = 400 * time.Millisecond
 )
 
-// Trial is one roll-out as the scheduler of all carries it. It is not safe for concurrent
-// use.
+// Trial is one roll-out as the home (the host that runs the scheduler) controls it. It is not
+// safe for concurrent use.
 type Trial struct {
-	Order   Order
-	bounds  Bounds
-	begun   Time // of the order
-	life    chart.Machine
-	samples samples
-	reached float64 // requests that reached the service while this scheduler carried the trial
-	tried   float64 // of them, those sent to the new version
-	since   Time    // when this scheduler took it up
-	fresh   bool    // it carries the trial from the order on
-	turn    turn
-	tries   map[string]int // by route
-	why     string
+	Order     Order
+	bounds    Bounds
+	orderedAt Time
+	machine   chart.Machine
+	samples   samples
+	reached   float64 // requests that reached the service since startedAt
+	tried     float64 // those of them that were sent to the new version
+	startedAt Time    // when this scheduler took over the trial
+	fromOrder bool    // this scheduler has run the trial since the order
+	turn      turn
+	tries     map[string]int // by route
+	why       string
 }
 
-// turn is the server that is tried now.
+// turn describes the server of the new version that gets requests now.
 type turn struct {
-	server string
-	left   int // requests that it gets yet
-	until  Time
-	had    map[string]int // turns by server
+	server    string
+	remaining int // requests left in the turn
+	until     Time
+	count     map[string]int // turns by server
 }
 
-// NewTrial takes up an order that was given some time ago. A scheduler that takes it up from
-// a lost one passes resumed: what was tried before is not known, and counts as all that was
-// allowed until then.
+// NewTrial starts the trial of an order that was given some time ago. A scheduler that takes it
+// over from a lost one passes resumed: the requests tried before are unknown, and count as all
+// that were allowed until then.
 func NewTrial(now Time, o Order, ago time.Duration, b Bounds, resumed bool) *Trial {
 	return &Trial{
-		Order: o, bounds: b, begun: now - ago, since: now, fresh: !resumed, life: lifeOfTrial.Start(),
-		samples: newSamples(), tries: map[string]int{}, turn: turn{had: map[string]int{}},
+		Order: o, bounds: b, orderedAt: now - ago, startedAt: now, fromOrder: !resumed, machine: trialChart.Start(),
+		samples: newSamples(), tries: map[string]int{}, turn: turn{count: map[string]int{}},
 	}
 }
 
-// Phase is where the trial stands.
-func (t *Trial) Phase() Phase { return t.life.State() }
+// Phase returns the phase of the trial.
+func (t *Trial) Phase() Phase { return t.machine.State() }
 
-// Skip moves the service at once: it runs the version that is ordered.
+// Skip moves the service at once, since it runs the ordered version already.
 func (t *Trial) Skip() { t.fire(evMove, "the service runs it already") }
 
-// Replace ends the trial: a newer order has come.
+// Replace ends the trial because of a newer order.
 func (t *Trial) Replace() { t.fire(evReplaced, "replaced by a newer order") }
 
-// MayTake reports whether one more request may be tried, whosever turn it is.
+// MayTake reports whether the bounds allow one more request for the new version, regardless of
+// turns.
 func (t *Trial) MayTake() bool { return t.Phase() == Trying && t.credit() >= 1 }
 
-// State is what operators are told.
+// State returns the state shown to operators.
 func (t *Trial) State() State {
 	switch t.Phase() {
 	case Moved:
@@ -117,22 +118,22 @@
 	return Running
 }
 
-// Why tells what decided, with the figures; empty while nothing is.
+// Why returns the reason of the last transition, with figures; empty before the first one.
 func (t *Trial) Why() string { return t.why }
 
-// Deadline is when the order wants the service moved.
-func (t *Trial) Deadline() Time { return t.begun + t.Order.Lasts }
+// Deadline returns the time by which the order asks for the service to be moved.
+func (t *Trial) Deadline() Time { return t.orderedAt + t.Order.Lasts }
 
 func (t *Trial) fire(e chart.Event, why string) bool {
-	before := t.life.State()
-	if t.life.Fire(e) != nil || t.life.State() == before {
-		return false // the chart knows no such step from here
+	before := t.machine.State()
+	if t.machine.Fire(e) != nil || t.machine.State() == before {
+		return false // the chart has no such transition from this phase
 	}
 	t.why = why
 	return true
 }
 
-// Reached notes that a request was sent to a server of the service.
+// Reached counts a request that was sent to a server of the service.
 func (t *Trial) Reached(toNew bool) {
 	t.reached++
 	if toNew {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Unreached takes back what Reached noted: the request was not sent.
+// Unreached reverts Reached for a request that was not sent after all.
 func (t *Trial) Unreached(toNew bool) {
 	t.reached--
 	if toNew {
@@ -148,32 +149,32 @@
 	}
 }
 
-// allowed is how many requests the new version may have had until now, as a part of the
-// bounds.
-func (t *Trial) allowed(part float64) float64 {
+// allowed returns how many requests the new version may have got by now if it may use the given
+// share of the bounds.
+func (t *Trial) allowed(share float64) float64 {
 	slack := t.bounds.Slack
-	if !t.fresh {
-		slack = 0 // the one before has used it up
+	if !t.fromOrder {
+		slack = 0 // the previous scheduler may have used it up
 	}
-	return part * (t.bounds.Share*t.reached + slack)
+	return share * (t.bounds.Share*t.reached + slack)
 }
 
-// credit is how many more requests may be tried now.
-func (t *Trial) credit() float64 { return t.allowed(tryShare) - t.tried }
+// credit returns how many more requests may be sent to the new version now.
+func (t *Trial) credit() float64 { return t.allowed(trialShare) - t.tried }
 
-// Candidate is a server of the new version that has room.
+// Candidate is a server of the new version with free slots.
 type Candidate struct {
 	Server string
 	Slots  int
 }
 
-// Turn tells which of the servers with room is to be tried, empty for none. Servers are
-// tried by turns, each with a burst that fills its slots.
+// Turn returns which of the servers with free slots gets the next request, empty for none.
+// Servers take turns, each with a burst that fills its slots.
 func (t *Trial) Turn(now Time, free []Candidate) string {
 	if t.Phase() != Trying || t.credit() < 1 {
 		return ""
 	}
-	if t.turn.left > 0 && now < t.turn.until {
+	if t.turn.remaining > 0 && now < t.turn.until {
 		for _, c := range free {
 			if c.Server == t.turn.server {
 				return c.Server
@@ -183,169 +184,169 @@
 	}
 	var next *Candidate
 	for i, c := range free {
-		if next == nil || t.turn.had[c.Server] < t.turn.had[next.Server] {
+		if next == nil || t.turn.count[c.Server] < t.turn.count[next.Server] {
 			next = &free[i]
 		}
 	}
 	if next == nil {
 		return ""
 	}
-	want := max(1, int(pulse*float64(next.Slots)))
-	if len(t.turn.had) == 0 {
-		want = 1 // the first request may be one too many
-	} else if t.credit() < float64(want) {
+	burst := max(1, int(burstPerSlot*float64(next.Slots)))
+	if len(t.turn.count) == 0 {
+		burst = 1 // of a bad version, the first request may already be too many
+	} else if t.credit() < float64(burst) {
 		return ""
 	}
-	t.turn.server, t.turn.left, t.turn.until = next.Server, want, now+pulseFor
-	t.turn.had[next.Server]++
+	t.turn.server, t.turn.remaining, t.turn.until = next.Server, burst, now+maxTurnTime
+	t.turn.count[next.Server]++
 	return next.Server
 }
 
-// Wants reports whether a request of a route may be tried now: no route runs far ahead of
-// the others.
+// Wants reports whether a request of a route may be sent to the new version now, so that no
+// route gets far ahead of the others.
 //
-// Guard: some routes get a request now and then. Were they waited for, the others would have
-// no tries, and a roll-out would neither be moved nor taken back.
+// Routes with rare requests do not hold back the others. These would get no tries, and the
+// roll-out would neither move nor be rolled back.
 func (t *Trial) Wants(route string) bool {
-	least := -1
-	for r, u := range t.samples.usual {
-		if u.answers < routeShare*t.samples.usualAnswers {
+	minTries := -1
+	for r, b := range t.samples.baselines {
+		if b.answers < minRouteShare*t.samples.baselineAnswers {
 			continue
 		}
-		if n := t.tries[r]; least < 0 || n < least {
-			least = n
+		if n := t.tries[r]; minTries < 0 || n < minTries {
+			minTries = n
 		}
 	}
-	return least < 0 || t.tries[route] <= least+least/2+routeLead
+	return minTries < 0 || t.tries[route] <= minTries+minTries/2+maxRouteLead
 }
 
-// Tried notes that a request of a route was given to the server whose turn it is.
+// Tried counts a request of a route that was given to the server whose turn it is.
 func (t *Trial) Tried(route string) {
 	t.tries[route]++
-	t.turn.left--
+	t.turn.remaining--
 }
 
-// Learn takes an answer and reports whether it decided. servers is how many servers of the
-// new version there are.
+// Learn adds an answer and reports whether the version is rolled back because of it. servers is
+// the number of servers of the new version.
 func (t *Trial) Learn(now Time, s Sample, servers int) (decided bool) {
 	if bad := t.samples.add(s); !bad || t.State().Over() {
 		return false
 	}
 	worst := t.samples.worst(servers)
-	if worst.chance >= t.doubt(now) {
+	if worst.pValue >= t.significance(now) {
 		return false
 	}
 	return t.fire(evBad, worst.String())
 }
 
-// doubt is the chance at which the version is taken back.
-func (t *Trial) doubt(now Time) float64 {
+// significance returns the p-value below which the version is rolled back.
+func (t *Trial) significance(now Time) float64 {
 	if now >= t.Deadline() {
-		return doubtLate
+		return lateSignificance
 	}
-	return doubt
+	return significance
 }
 
-// Pass lets time pass and reports whether the service begins to be moved, or the version is
-// taken back.
+// Pass re-evaluates the trial as time passes, and reports whether the move to the version starts
+// or the version is rolled back.
 func (t *Trial) Pass(now Time, servers int) (decided bool) {
-	if t.Phase() != Trying || !t.mayMove(now) || t.samples.n < proof {
+	if t.Phase() != Trying || !t.mayMove(now) || t.samples.n < minAnswersToMove {
 		return false
 	}
 	worst := t.samples.worst(servers)
-	if worst.chance < t.doubt(now) {
+	if worst.pValue < t.significance(now) {
 		return t.fire(evBad, worst.String())
 	}
-	if worst.chance < unsure {
+	if worst.pValue < minMovePValue {
 		return now >= t.Deadline()+t.Order.Lasts/2 && t.fire(evBad, "still unsure; "+worst.String())
 	}
 	return t.fire(evMove, fmt.Sprintf("%d of %d answers bad, %.0f of %.0f requests tried", t.samples.bad, t.samples.n, t.tried, t.reached))
 }
 
-// mayMove reports whether what the new version would get from now to the deadline keeps
-// within the bounds, should it turn out to be bad after all.
+// mayMove reports whether the bounds hold if the service moves now and the new version turns out
+// to be bad after all, counting all requests until the deadline.
 func (t *Trial) mayMove(now Time) bool {
-	left := t.Deadline() - now
-	if left <= 0 {
+	remaining := t.Deadline() - now
+	if remaining <= 0 {
 		return true
 	}
-	carried := (now - t.since).Seconds()
-	if carried <= 0 {
+	elapsed := (now - t.startedAt).Seconds()
+	if elapsed <= 0 {
 		return false
 	}
-	coming := t.reached / carried * left.Seconds()
+	expected := t.reached / elapsed * remaining.Seconds()
 	slack := t.bounds.Slack
-	if !t.fresh {
+	if !t.fromOrder {
 		slack = 0
 	}
-	most := coming + 2*math.Sqrt(coming) // as requests come by chance
-	return t.tried+most <= moveShare*(t.bounds.Share*(t.reached+coming)+slack)
+	upper := expected + 2*math.Sqrt(expected) // two standard deviations of random arrivals
+	return t.tried+upper <= trialAndMoveShare*(t.bounds.Share*(t.reached+expected)+slack)
 }
 
-// Ending reports whether a run on an old server that is expected to take so long would
-// still last when the service has been moved.
+// Ending reports whether a run on an old server that is expected to take the given time would
+// still be running when the service has been moved.
 func (t *Trial) Ending(now Time, takes time.Duration) bool {
-	return t.Phase() == Trying && now+takes > t.Deadline()-settle
+	return t.Phase() == Trying && now+takes > t.Deadline()-storeWriteMargin
 }
 
-// Empty tells that no old server runs anything that would be lost with it, and reports
-// whether that completes the roll-out.
+// Empty records that no old server has a run that would be lost with it, and reports whether
+// that completes the roll-out.
 func (t *Trial) Empty() bool {
 	return t.Phase() == Moving && t.fire(evEmpty, t.why)
 }
 
-// Standing tells how the trial stands.
+// Standing returns the current figures of the trial.
 func (t *Trial) Standing() Standing {
 	r := Standing{
 		Order: t.Order, Phase: t.Phase(), Why: t.why, Reached: t.reached, Tried: t.tried,
 		Answers: t.samples.n, Bad: t.samples.bad, Routes: map[string]RouteStanding{},
 	}
-	for route, u := range t.samples.usual {
-		r.Routes[route] = RouteStanding{Tried: t.tries[route], Usual: u.bad[failing].value}
+	for route, b := range t.samples.baselines {
+		r.Routes[route] = RouteStanding{Tried: t.tries[route], Usual: b.bad[failing].value}
 	}
-	t.samples.newest(func(s seen) bool {
-		one := r.Routes[s.route]
-		one.Answers++
+	t.samples.newest(func(s judgedAnswer) bool {
+		standing := r.Routes[s.route]
+		standing.Answers++
 		if s.isBad() {
-			one.Bad++
+			standing.Bad++
 		}
-		r.Routes[s.route] = one
+		r.Routes[s.route] = standing
 		return true
 	})
 	return r
 }
 
-// Standing is a trial's standing, for operators.
+// Standing holds the figures of a trial for operators.
 type Standing struct {
 	Order   Order
 	Phase   Phase
 	Why     string
 	Reached float64 // requests that reached the service
-	Tried   float64 // of them, those given to the new version
-	Answers int     // of the new version
-	Bad     int     // of them
+	Tried   float64 // those of them that were given to the new version
+	Answers int     // answers of the new version
+	Bad     int     // bad ones among them
 	Routes  map[string]RouteStanding
 }
 
-// RouteStanding is what the new version answered on one route.
+// RouteStanding holds the figures of the new version on one route.
 type RouteStanding struct {
 	Tried   int
-	Answers int     // newest, as far as they are kept
-	Bad     int     // of them
+	Answers int     // newest answers, as far as they are stored
+	Bad     int     // bad ones among them
 	Usual   float64 // share of the old version's answers that are failures
 }
 
-// Wish is what an operator wants of a trial.
+// Wish is an operator's command for a trial.
 type Wish string
 
-// The wishes.
+// The operators' commands.
 const (
 	WishPause    Wish = "pause"
 	WishResume   Wish = "resume"
 	WishTakeBack Wish = "take-back"
 )
 
-// Obey does what an operator wants, and reports whether that changed anything.
+// Obey carries out an operator's command and reports whether the phase changed.
 func (t *Trial) Obey(w Wish) bool {
 	const why = "by an operator's word"
 	switch w {
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// doubt is the chance at which so many bad answers are not put down to chance any
-	// more. A trial is judged at each bad answer, over several spans and routes; with this
-	// a sound version is taken back in far less than one of a thousand trials.
-	doubt = 1e-6
-	// leastBadAnswers is how many must be bad at least: a server that ends takes as many
-	// answers with it as it has places.
-	leastBadAnswers = 4
-	// unsure is the chance at which a version is not moved to yet, and doubtLate the chance
-	// at which it is taken back when its time is over.
-	unsure    = 0.1
-	doubtLate = 1e-3
+	// significance is the p-value below which bad answers are no longer attributed to chance.
+	// A trial is evaluated at each bad answer, over several windows and routes; with this value
+	// a sound version is rolled back in far less than one of a thousand trials.
+	significance = 1e-6
+	// minBadAnswers is the minimum number of bad answers for a verdict: a server that ends
+	// cuts off as many answers as it has slots.
+	minBadAnswers = 4
+	// minMovePValue is the p-value below which the service does not move yet, and
+	// lateSignificance the one below which a version is rolled back once the deadline has passed.
+	minMovePValue    = 0.1
+	lateSignificance = 1e-3
 )
 
-// spans are the numbers of newest answers that are judged. A version that turns bad after
-// a while shows in the short ones, one of which few answers are bad in the long ones.
-var spans = [...]int{16, 32, 64, 128, 256, 512, kept}
+// windows are the numbers of newest answers over which the version is evaluated. Short windows
+// detect a version that turns bad after a while, long ones a version with few bad answers.
+var windows = [...]int{16, 32, 64, 128, 256, 512, maxStoredAnswers}
 
-// counts is what one span of answers of the new version holds.
+// counts summarizes one window of answers of the new version.
 type counts struct {
 	n        int
-	servers  int // of withoutWorst: those that are left
+	servers  int // set by withoutWorst: number of servers left
 	bad      int
-	expected float64 // number of bad ones that a sound version would show
+	expected float64 // number of bad answers expected of a sound version
 	byServer map[string]*counts
 }
 
-func (c *counts) add(s seen, f fault) {
+func (c *counts) add(s judgedAnswer, f fault) {
 	c.n++
 	c.expected += s.expected[f]
 	if s.bad[f] {
@@ -43,17 +43,17 @@
 	}
 }
 
-// withoutWorst is c less the servers that have most bad answers beyond what is expected.
+// withoutWorst returns c without the servers whose bad answers exceed the expected number most.
 //
-// Guard: some servers are faulty or slow for a reason of their own, of both versions. A
-// version that is bad shows it at the others too.
+// Single servers of either version may be faulty or slow for reasons of their own. A bad version
+// shows on the other servers too.
 func (c *counts) withoutWorst() counts {
 	out := *c
 	servers := slices.Collect(maps.Values(c.byServer))
 	slices.SortFunc(servers, func(a, b *counts) int { return cmp.Compare(b.excess(), a.excess()) })
-	n := int(math.Ceil(leftOut * float64(len(servers))))
-	if len(servers) >= fewServers {
-		n++ // of a few drawn from many, more may be faulty than on the whole
+	n := int(math.Ceil(excludedShare * float64(len(servers))))
+	if len(servers) >= extraExcludedFrom {
+		n++ // in a small sample of servers, the faulty share may be higher than overall
 	}
 	out.servers = len(servers) - n
 	for _, worst := range servers[:n] {
@@ -64,21 +64,21 @@
 	return out
 }
 
-// leftOut is the part of the servers, those with most bad answers, that is left out; from
-// fewServers on one more.
 const (
-	leftOut    = 0.25
-	fewServers = 4
-	// enoughServers is how many must be left for a verdict, where there are as many: two
-	// faulty ones may well have their turns one after the other.
-	enoughServers = 3
+	// excludedShare is the share of the servers, those with most bad answers, that is excluded.
+	// From extraExcludedFrom servers on, one more is excluded.
+	excludedShare     = 0.25
+	extraExcludedFrom = 4
+	// minServersLeft is the number of servers that must be left for a verdict, as far as the
+	// version has enough of them: two faulty servers may have their turns in succession.
+	minServersLeft = 3
 )
 
 func (c *counts) excess() float64 { return float64(c.bad) - c.expected }
 
-// chance is how likely a sound version shows so many bad answers or more, by Chernoff's
-// bound.
-func (c *counts) chance() float64 {
+// pValue returns Chernoff's bound on the probability that a sound version has as many bad answers
+// or more.
+func (c *counts) pValue() float64 {
 	bad, expected := float64(c.bad), c.expected
 	if bad <= expected || c.n == 0 {
 		return 1
@@ -92,12 +92,12 @@
 	return math.Exp(-float64(c.n) * exponent)
 }
 
-// finding is the span of answers that looks worst.
+// finding is the window of answers with the lowest p-value for one kind of fault.
 type finding struct {
 	fault  fault
 	route  string // empty: all routes
 	counts counts
-	chance float64
+	pValue float64
 }
 
 func (f finding) String() string {
@@ -105,15 +105,15 @@
 	if f.route != "" {
 		where = "route " + f.route
 	}
-	return fmt.Sprintf("%s: %d of %d %s where %.1f are usual, chance %.1g", where, f.counts.bad, f.counts.n, f.fault, f.counts.expected, f.chance)
+	return fmt.Sprintf("%s: %d of %d %s where %.1f are usual, chance %.1g", where, f.counts.bad, f.counts.n, f.fault, f.counts.expected, f.pValue)
 }
 
-// worst finds the span of answers, of one route or all, that is least like a sound version.
-// servers is how many servers of the version there are.
+// worst returns the window of answers, of one route or all, with the lowest p-value. servers is
+// the number of servers of the version.
 func (s *samples) worst(servers int) finding {
-	out := finding{chance: 1}
-	for f := range faults {
-		if worst := s.worstOf(f, servers); worst.chance < out.chance {
+	out := finding{pValue: 1}
+	for f := range faultCount {
+		if worst := s.worstOf(f, servers); worst.pValue < out.pValue {
 			out = worst
 		}
 	}
@@ -121,36 +121,36 @@
 }
 
 func (s *samples) worstOf(f fault, servers int) finding {
-	out := finding{fault: f, chance: 1}
+	out := finding{fault: f, pValue: 1}
 	byRoute := map[string]*counts{}
 	total := 0
 	judge := func(route string, c *counts) {
-		rest := *c
+		remaining := *c
 		if servers > 1 {
-			if rest = c.withoutWorst(); rest.servers < min(enoughServers, (servers+1)/2) {
+			if remaining = c.withoutWorst(); remaining.servers < min(minServersLeft, (servers+1)/2) {
 				return
 			}
 		}
-		if chance := rest.chance(); rest.bad >= leastBadAnswers && chance < out.chance {
-			out = finding{fault: f, route: route, counts: rest, chance: chance}
+		if pValue := remaining.pValue(); remaining.bad >= minBadAnswers && pValue < out.pValue {
+			out = finding{fault: f, route: route, counts: remaining, pValue: pValue}
 		}
 	}
-	s.newest(func(one seen) bool {
-		for _, route := range []string{"", one.route} {
+	s.newest(func(answer judgedAnswer) bool {
+		for _, route := range []string{"", answer.route} {
 			c := byRoute[route]
 			if c == nil {
 				c = &counts{byServer: map[string]*counts{}}
 				byRoute[route] = c
 			}
-			if c.byServer[one.server] == nil {
-				c.byServer[one.server] = &counts{}
+			if c.byServer[answer.server] == nil {
+				c.byServer[answer.server] = &counts{}
 			}
-			c.add(one, f)
-			c.byServer[one.server].add(one, f)
+			c.add(answer, f)
+			c.byServer[answer.server].add(answer, f)
 		}
 		total++
-		for _, span := range spans {
-			if total == span {
+		for _, size := range windows {
+			if total == size {
 				for route, c := range byRoute {
 					judge(route, c)
 				}
