--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,8 +13,8 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// MaxDocumentBytes bounds a document; 680 accounts and 630 servers take
-// about 200 KB.
+// MaxDocumentBytes is the maximum size of a document; 680 accounts and 630
+// servers take about 200 KB.
 const MaxDocumentBytes = 4 << 20
 
 var checker = newChecker()
@@ -25,8 +25,8 @@
 	return v
 }
 
-// Decode reads a document strictly, fills defaults and checks it. The
-// failure lists every fault with its path, the value and what is allowed.
+// Decode decodes a document strictly, checks it and fills in defaults. The
+// error lists every fault with its path, its value and the allowed values.
 func Decode(text []byte) (*Document, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, failure.New(failure.BadConfig, "document of %d bytes; at most %d are allowed", len(text), MaxDocumentBytes)
@@ -47,7 +47,7 @@
 	return &doc, nil
 }
 
-// Check verifies values and cross references and reports all faults at once.
+// Check validates values and cross-references and reports all faults at once.
 func (d *Document) Check() error {
 	faults := d.valueFaults()
 	faults = append(faults, d.referenceFaults()...)
@@ -75,7 +75,8 @@
 	return faults
 }
 
-// references collects the names that other parts of a document may use.
+// references holds the names that other parts of a document may refer to, and
+// the faults found in these references.
 type references struct {
 	zones    []string
 	services []string
@@ -83,7 +84,7 @@
 	faults   []string
 }
 
-func (r *references) need(path, value string, allowed []string) {
+func (r *references) requireOneOf(path, value string, allowed []string) {
 	for _, a := range allowed {
 		if a == value {
 			return
@@ -92,7 +93,7 @@
 	r.faults = append(r.faults, fmt.Sprintf("%s: value %q; allowed: %s", path, value, strings.Join(allowed, ", ")))
 }
 
-func (r *references) unique(path, value string, seen map[string]string) {
+func (r *references) requireUnique(path, value string, seen map[string]string) {
 	if first, ok := seen[value]; ok {
 		r.faults = append(r.faults, fmt.Sprintf("%s: value %q; allowed: a value not used at %s", path, value, first))
 		return
@@ -118,12 +119,12 @@
 	names, servers, addresses := map[string]string{}, map[string]string{}, map[string]string{}
 	for i, s := range d.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		r.unique(path+".name", s.Name, names)
+		r.requireUnique(path+".name", s.Name, names)
 		for j, b := range s.BackendServers {
 			at := fmt.Sprintf("%s.backend_servers[%d]", path, j)
-			r.unique(at+".name", b.Name, servers)
-			r.unique(at+".address", b.Address, addresses)
-			r.need(at+".availability_zone", b.AvailabilityZone, r.zones)
+			r.requireUnique(at+".name", b.Name, servers)
+			r.requireUnique(at+".address", b.Address, addresses)
+			r.requireOneOf(at+".availability_zone", b.AvailabilityZone, r.zones)
 		}
 	}
 }
@@ -132,10 +133,10 @@
 	names, secrets := map[string]string{}, map[string]string{}
 	for i, a := range d.ClientAccounts {
 		path := fmt.Sprintf("client_accounts[%d]", i)
-		r.unique(path+".name", a.Name, names)
-		r.unique(path+".secret_sha256", a.SecretSHA256, secrets)
+		r.requireUnique(path+".name", a.Name, names)
+		r.requireUnique(path+".secret_sha256", a.SecretSHA256, secrets)
 		for j, s := range a.Services {
-			r.need(fmt.Sprintf("%s.services[%d]", path, j), s, r.services)
+			r.requireOneOf(fmt.Sprintf("%s.services[%d]", path, j), s, r.services)
 		}
 	}
 }
@@ -143,14 +144,14 @@
 func (d *Document) checkRules(r *references) {
 	numbers, kinds := map[string]string{}, map[string]string{}
 	for i, t := range d.Rules.Tiers {
-		r.unique(fmt.Sprintf("rules.tiers[%d].number", i), fmt.Sprint(t.Number), numbers)
+		r.requireUnique(fmt.Sprintf("rules.tiers[%d].number", i), fmt.Sprint(t.Number), numbers)
 	}
 	covered := map[string]bool{}
 	for i, k := range d.Rules.RequestKinds {
 		path := fmt.Sprintf("rules.request_kinds[%d]", i)
-		r.unique(path+".name", k.Service+"/"+k.Name, kinds)
-		r.need(path+".service", k.Service, r.services)
-		r.need(path+".tier", fmt.Sprint(k.Tier), r.tiers)
+		r.requireUnique(path+".name", k.Service+"/"+k.Name, kinds)
+		r.requireOneOf(path+".service", k.Service, r.services)
+		r.requireOneOf(path+".tier", fmt.Sprint(k.Tier), r.tiers)
 		covered[k.Service] = true
 	}
 	for i, s := range r.services {
@@ -160,7 +161,7 @@
 	}
 }
 
-// Encode writes the document as YAML.
+// Encode encodes the document as YAML.
 func Encode(d *Document) ([]byte, error) {
 	text, err := yaml.Marshal(d)
 	return text, failure.Wrap(failure.Internal, err, "encode configuration")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -38,9 +38,9 @@
 		Entry("demo", "demo.yaml", 2, 5, 5),
 	)
 
-	// Story: an operator mistypes one name late at night. The message must say
-	// where, what was written and what is allowed.
-	DescribeTable("names path, value and what is allowed",
+	// An operator mistypes one value. The message must give its path, the value
+	// and the allowed ones.
+	DescribeTable("reports path, value and allowed values of a fault",
 		func(old, new string, parts ...string) {
 			_, err := config.Decode([]byte(strings.Replace(example("demo.yaml"), old, new, 1)))
 			for _, p := range parts {
@@ -74,7 +74,7 @@
 		Expect(kind.NonIdempotent).To(BeTrue())
 	})
 
-	It("shows a moved entry as no change and a changed one by its name", func() {
+	It("ignores reordered entries and reports a changed one by its name", func() {
 		from, err := config.Decode([]byte(example("demo.yaml")))
 		Expect(err).NotTo(HaveOccurred())
 		to, err := config.Decode([]byte(strings.Replace(example("demo.yaml"), "speed: 4", "speed: 3", 1)))
@@ -87,8 +87,8 @@
 	})
 })
 
-// FuzzDecode feeds the decoder what no editor would write: it must refuse or
-// accept, never panic, and what it accepts must survive a round trip.
+// FuzzDecode checks that the decoder accepts or refuses any input without a
+// panic, and that an accepted document survives a round trip.
 func FuzzDecode(f *testing.F) {
 	for _, name := range []string{"tsumugi.yaml", "demo.yaml"} {
 		text, err := os.ReadFile(filepath.Join("..", "..", "examples", name))
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -10,14 +10,14 @@
 )
 
 // Change is one value that differs between two documents. An empty Old or
-// New means that the path is absent there.
+// New means that the path is absent in that document.
 type Change struct {
 	Path string `json:"path"`
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// String renders a change the way config diff prints it.
+// String returns the change as config diff prints it.
 func (c Change) String() string {
 	switch {
 	case c.Old == "":
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.Old, c.New)
 }
 
-// Diff lists what differs, ordered by path. Lists of named items are
-// compared by name, so a moved entry is no change.
+// Diff lists the differences, ordered by path. Lists of named items are
+// compared by name, so a reordered item is no change.
 func Diff(from, to *Document) ([]Change, error) {
 	a, err := flatten(from)
 	if err != nil {
@@ -93,9 +93,9 @@
 	return path + "." + key
 }
 
-// itemName identifies a list item: by its name, or service and name for a
-// request kind, else by its value or place.
-func itemName(n *yaml.Node, place int) string {
+// itemName identifies a list item by its name, or by service and name for a
+// request kind; otherwise by its value or index.
+func itemName(n *yaml.Node, index int) string {
 	if n.Kind == yaml.ScalarNode {
 		return n.Value
 	}
@@ -110,7 +110,7 @@
 	}
 	switch {
 	case name == "":
-		return fmt.Sprint(place)
+		return fmt.Sprint(index)
 	case service != "":
 		return service + "/" + name
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,6 +1,6 @@
-// Package config defines the operators' document: the inventory (places,
-// services, backend servers, client accounts) and the rules (tiers, kinds of
-// requests). Decoding is strict and every cross reference is checked.
+// Package config defines the operators' configuration document: the inventory
+// (places, services, backend servers, client accounts) and the rules (tiers,
+// request kinds). Decoding is strict and every cross-reference is checked.
 package config
 
 import (
@@ -11,19 +11,21 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// ServiceKind tells how a service's backend servers are spoken to.
+// ServiceKind selects the protocol of a service's backend servers.
 type ServiceKind string
 
-// Model engines stream tokens and can resume; plain services answer calls.
+// The kinds of services. Model engines stream tokens and can resume a stream;
+// plain services answer calls.
 const (
 	ModelService ServiceKind = "model"
 	PlainService ServiceKind = "plain"
 )
 
-// ServerState is what operators want of a backend server.
+// ServerState is the state of a backend server that operators ask for.
 type ServerState string
 
-// A leaving server receives no new work and finishes what runs.
+// The states. A leaving server receives no new requests and completes those
+// that are running.
 const (
 	ServerInService ServerState = "in_service"
 	ServerLeaving   ServerState = "leaving"
@@ -45,10 +47,10 @@
 // MarshalYAML implements yaml.Marshaler.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
-// Std returns the standard library's form.
+// Std converts d to a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Document is one whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Places         Places          `yaml:"places" validate:"required"`
 	Services       []Service       `yaml:"services" validate:"required,min=1,dive"`
@@ -56,7 +58,7 @@
 	Rules          Rules           `yaml:"rules" validate:"required"`
 }
 
-// Places lists where entry hosts and backend servers stand.
+// Places lists the locations of entry hosts and backend servers.
 type Places struct {
 	Region            string   `yaml:"region" validate:"required"`
 	AvailabilityZones []string `yaml:"availability_zones" validate:"required,min=1,unique,dive,required"`
@@ -74,15 +76,15 @@
 	Name             string      `yaml:"name" validate:"required"`
 	Address          string      `yaml:"address" validate:"required,hostname_port"`
 	AvailabilityZone string      `yaml:"availability_zone" validate:"required"`
-	Speed            float64     `yaml:"speed,omitempty" validate:"gte=0"`         // relative to the slowest generation; a first guess, 0 means 1
-	MaxSequences     int         `yaml:"max_sequences,omitempty" validate:"gte=0"` // requests in the server at once; 0 means 32
+	Speed            float64     `yaml:"speed,omitempty" validate:"gte=0"`         // initial estimate, relative to the slowest generation; 0 means 1
+	MaxSequences     int         `yaml:"max_sequences,omitempty" validate:"gte=0"` // maximum number of concurrent requests; 0 means 32
 	CacheTokens      int         `yaml:"cache_tokens,omitempty" validate:"gte=0"`  // prefix cache size; 0 means 60,000
-	ChecksFencing    bool        `yaml:"checks_fencing,omitempty"`                 // refuses orders with an old fencing number
-	Wants            string      `yaml:"wants,omitempty"`                          // state to order: models, adapters, versions, role; empty: no orders
+	ChecksFencing    bool        `yaml:"checks_fencing,omitempty"`                 // the server refuses orders with an old fencing number
+	Wants            string      `yaml:"wants,omitempty"`                          // state to order from the server: models, adapters, versions, role; empty: no orders
 	State            ServerState `yaml:"state,omitempty" validate:"omitempty,oneof=in_service leaving"`
 }
 
-// ClientAccount is one customer. The secret itself is never in the document.
+// ClientAccount is one customer. The document holds only a hash of the secret.
 type ClientAccount struct {
 	Name         string   `yaml:"name" validate:"required"`
 	SecretSHA256 string   `yaml:"secret_sha256" validate:"required,len=64,hexadecimal"`
@@ -90,7 +92,7 @@
 	Services     []string `yaml:"services" validate:"required,min=1,unique"`
 }
 
-// Rules are the operators' few decisions on top of the inventory.
+// Rules are the operators' policy for the inventory.
 type Rules struct {
 	Tiers        []Tier        `yaml:"tiers" validate:"required,min=1,dive"`
 	RequestKinds []RequestKind `yaml:"request_kinds" validate:"required,min=1,dive"`
@@ -98,14 +100,14 @@
 	Limits       Limits        `yaml:"limits,omitempty"`
 }
 
-// Tier orders requests: number 1 is served first and shed last.
+// Tier is a priority level of requests: number 1 is served first and shed last.
 type Tier struct {
 	Number   int      `yaml:"number" validate:"gte=1,lte=9"`
 	Name     string   `yaml:"name" validate:"required"`
 	Deadline Duration `yaml:"deadline" validate:"gt=0"` // for the whole answer, unless the kind says otherwise
 }
 
-// RequestKind classes the calls of a service.
+// RequestKind is a class of calls to a service.
 type RequestKind struct {
 	Name          string   `yaml:"name" validate:"required"`
 	Service       string   `yaml:"service" validate:"required"`
@@ -114,23 +116,23 @@
 	NonIdempotent bool     `yaml:"non_idempotent,omitempty"`
 }
 
-// LookupRules say how long callers keep an answer of the address look-up.
+// LookupRules control the answers of the address look-up.
 type LookupRules struct {
-	TTL             Duration `yaml:"ttl,omitempty" validate:"gte=0"`               // 0 means 5s
+	TTL             Duration `yaml:"ttl,omitempty" validate:"gte=0"`               // how long callers cache an answer; 0 means 5s
 	HostsPerService int      `yaml:"hosts_per_service,omitempty" validate:"gte=0"` // 0 means 9
 }
 
-// Limits bound what one caller or one service may make a host keep.
+// Limits bound the resources of a host that one caller or one service may use.
 type Limits struct {
 	BodyBytes    int      `yaml:"body_bytes,omitempty" validate:"gte=0"`    // 0 means 4 MiB
-	Waiting      int      `yaml:"waiting,omitempty" validate:"gte=0"`       // a service's queue; 0 means 10,000
-	HeldBytes    int      `yaml:"held_bytes,omitempty" validate:"gte=0"`    // bodies and answers on one host; 0 means 256 MiB
-	Horizon      Duration `yaml:"horizon,omitempty" validate:"gte=0"`       // how long ids are remembered; 0 means 120s
+	Waiting      int      `yaml:"waiting,omitempty" validate:"gte=0"`       // queue length of a service; 0 means 10,000
+	HeldBytes    int      `yaml:"held_bytes,omitempty" validate:"gte=0"`    // total of bodies and answers on one host; 0 means 256 MiB
+	Horizon      Duration `yaml:"horizon,omitempty" validate:"gte=0"`       // how long request ids are retained; 0 means 120s
 	ReadTimeout  Duration `yaml:"read_timeout,omitempty" validate:"gte=0"`  // for a whole request body; 0 means 10s
-	ClaimHorizon Duration `yaml:"claim_horizon,omitempty" validate:"gte=0"` // how long claim rows are kept; 0 means 24h
+	ClaimHorizon Duration `yaml:"claim_horizon,omitempty" validate:"gte=0"` // how long claim rows are retained; 0 means 24h
 }
 
-// The defaults that a zero in the document stands for.
+// The defaults of values that are zero in the document.
 const (
 	DefaultSpeed           = 1.0
 	DefaultMaxSequences    = 32
@@ -154,7 +156,7 @@
 	return v
 }
 
-// fillDefaults replaces each zero by the default it stands for.
+// fillDefaults replaces zero values by their defaults.
 func (d *Document) fillDefaults() {
 	for i := range d.Services {
 		for j := range d.Services[i].BackendServers {
@@ -190,7 +192,7 @@
 	}
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (d *Document) Service(name string) (*Service, bool) {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
@@ -200,7 +202,7 @@
 	return nil, false
 }
 
-// Account returns the client account of that name.
+// Account returns the client account with the given name.
 func (d *Document) Account(name string) (*ClientAccount, bool) {
 	for i := range d.ClientAccounts {
 		if d.ClientAccounts[i].Name == name {
@@ -210,7 +212,7 @@
 	return nil, false
 }
 
-// Kind returns the request kind of that name within a service.
+// Kind returns the request kind of a service with the given name.
 func (d *Document) Kind(service, name string) (*RequestKind, bool) {
 	for i := range d.Rules.RequestKinds {
 		k := &d.Rules.RequestKinds[i]
@@ -221,21 +223,22 @@
 	return nil, false
 }
 
-// DefaultKind returns the least urgent kind of a service, which requests
-// that name no kind belong to. A service with any non-idempotent kind treats
-// an unnamed call as non-idempotent: a forgotten name must not run twice.
+// DefaultKind returns the kind of requests that name none: the least urgent
+// kind of the service. If any kind of the service is non-idempotent, so is the
+// default, since a non-idempotent call whose kind was omitted must not run
+// twice.
 func (d *Document) DefaultKind(service string) (RequestKind, bool) {
 	var out RequestKind
-	risky := false
+	nonIdempotent := false
 	for _, k := range d.Rules.RequestKinds {
 		if k.Service != service {
 			continue
 		}
-		risky = risky || k.NonIdempotent
+		nonIdempotent = nonIdempotent || k.NonIdempotent
 		if k.Tier >= out.Tier {
 			out = k
 		}
 	}
-	out.NonIdempotent = risky
+	out.NonIdempotent = nonIdempotent
 	return out, out.Name != ""
 }
