--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the daemon's settings and checks them at start. All
-// faults are reported in one message.
+// Package settings defines the daemon's settings and validates them at startup.
+// All faults are reported in one message.
 package settings
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Daemon is what one gentiand process is told by flags and environment.
+// Daemon holds the settings of a gentiand process from flags and environment.
 type Daemon struct {
 	Host             string        // name of this entry host
-	AvailabilityZone string        // where it stands
-	Fleet            string        // hosts of other fleets are not talked to
-	CallerAddress    string        // HTTP towards callers, IP:port
-	ControlAddress   string        // TCP and UDP towards other hosts, IP:port
-	AdminAddress     string        // HTTP towards operators, IP:port
-	AdvertiseControl string        // control address told to other hosts; empty: ControlAddress
+	AvailabilityZone string        // availability zone of this entry host
+	Fleet            string        // name of the fleet; hosts of other fleets are refused
+	CallerAddress    string        // IP:port for callers (HTTP)
+	ControlAddress   string        // IP:port for other entry hosts (TCP and UDP)
+	AdminAddress     string        // IP:port for operators (HTTP)
+	AdvertiseControl string        // control address announced to other hosts; empty: ControlAddress
 	Platform         string        // base URL of the platform's services
-	PlatformTimeout  time.Duration // for one call to the platform
+	PlatformTimeout  time.Duration // timeout of one call to the platform
 	Seeds            []string      // control addresses of other hosts
-	TimelineSize     int           // events kept
-	DrainLimit       time.Duration // longest wait for requests in progress; 0: none
+	TimelineSize     int           // number of events in the time line
+	DrainLimit       time.Duration // longest wait for requests in progress when draining; 0: no limit
 	LogFormat        string        // logfmt or json
-	AdminToken       string        // operators' bearer token; empty: none asked
+	AdminToken       string        // bearer token required of operators; empty: none
 }
 
 // The log formats.
@@ -36,40 +36,40 @@
 	LogJSON = "json"
 )
 
-// faults collects what is wrong.
+// faults collects the messages about invalid settings.
 type faults []string
 
 func (f *faults) add(flag, value, allowed string) {
 	*f = append(*f, fmt.Sprintf("--%s: value %q; allowed: %s", flag, value, allowed))
 }
 
-func (f *faults) address(flag, value string) {
+func (f *faults) checkAddress(flag, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
 		f.add(flag, value, "an IP number and a port, such as 127.0.0.1:7100")
 	}
 }
 
-func (f *faults) name(flag, value string) {
+func (f *faults) checkName(flag, value string) {
 	if value == "" || strings.ContainsAny(value, " \t\n\x00") {
 		f.add(flag, value, "a name without blanks")
 	}
 }
 
-// Check reports every fault at once.
+// Check validates the settings and reports all faults at once.
 func (d *Daemon) Check() error {
 	var f faults
-	f.name("host", d.Host)
-	f.name("availability-zone", d.AvailabilityZone)
-	f.name("fleet", d.Fleet)
-	f.address("caller-address", d.CallerAddress)
-	f.address("control-address", d.ControlAddress)
-	f.address("admin-address", d.AdminAddress)
+	f.checkName("host", d.Host)
+	f.checkName("availability-zone", d.AvailabilityZone)
+	f.checkName("fleet", d.Fleet)
+	f.checkAddress("caller-address", d.CallerAddress)
+	f.checkAddress("control-address", d.ControlAddress)
+	f.checkAddress("admin-address", d.AdminAddress)
 	if d.AdvertiseControl != "" {
-		f.address("advertise-control", d.AdvertiseControl)
+		f.checkAddress("advertise-control", d.AdvertiseControl)
 	}
 	for _, s := range d.Seeds {
-		f.address("seed", s)
+		f.checkAddress("seed", s)
 	}
 	if u, err := url.Parse(d.Platform); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
 		f.add("platform", d.Platform, "a base URL such as http://127.0.0.1:7000")
