--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure holds the typed errors of the system. Every failure has a
-// Code; the code decides the HTTP status, what a caller may conclude about
-// the request (Outcome) and whether the call may be tried again.
+// Package failure defines the typed errors of the system. Every error has a
+// Code, which determines the HTTP status, what a caller may conclude about
+// the request (Outcome) and whether the call may be retried.
 package failure
 
 import (
@@ -11,22 +11,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome is what a final answer says about the request it ends.
+// Outcome is what a final answer states about its request.
 type Outcome string
 
-// The three final words to a caller. Answered carries the whole answer,
-// NotRun is only said with proof, Unknown is said whenever proof is missing.
+// The outcomes. Answered comes with the whole answer, NotRun is stated only
+// with proof that the request did not run, and Unknown whenever proof is
+// missing.
 const (
 	Answered Outcome = "answered"
 	NotRun   Outcome = "not run"
 	Unknown  Outcome = "unknown"
 )
 
-// Code names one kind of failure. Codes are part of the callers' interface
-// and are listed in docs/API.md.
+// Code identifies a kind of failure. Codes are part of the interface for
+// callers and are listed in docs/API.md.
 type Code string
 
-// The codes, each with the status and outcome given in the table below.
+// The codes. Those that callers receive have a status and outcome in classes.
 const (
 	BadRequest      Code = "bad_request"
 	Unauthenticated Code = "unauthenticated"
@@ -86,7 +87,7 @@
 	Isolated:        {http.StatusServiceUnavailable, NotRun},
 	NoHome:          {http.StatusServiceUnavailable, NotRun},
 	NoServer:        {http.StatusServiceUnavailable, NotRun},
-	// The request runs elsewhere or will: the word at this host is unknown.
+	// The request runs or will run elsewhere, so this host does not know its outcome.
 	Moved:         {http.StatusConflict, Unknown},
 	Removed:       {http.StatusGone, NotRun},
 	Withdrawn:     {http.StatusConflict, NotRun},
@@ -101,12 +102,12 @@
 	BadConfig:     {http.StatusUnprocessableEntity, NotRun},
 }
 
-// Error is the one error type that crosses package borders.
+// Error is the only error type that packages return to each other.
 type Error struct {
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // 0: no advice on when to come back.
-	// Unproved says that the code holds for one attempt only while an earlier
+	RetryAfter time.Duration // 0: no advice on when to retry
+	// Unproved is set when the code holds for one attempt only, and an earlier
 	// attempt at the same request may have run elsewhere.
 	Unproved bool
 }
@@ -114,7 +115,7 @@
 // Error implements error.
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
 
-// Status returns the HTTP status that a caller sees for the code.
+// Status returns the HTTP status for the code.
 func (e *Error) Status() int {
 	if c, ok := classes[e.Code]; ok {
 		return c.status
@@ -122,8 +123,8 @@
 	return http.StatusInternalServerError
 }
 
-// Outcome tells what a caller may conclude about its request. A code without
-// a class proves nothing, so it says Unknown.
+// Outcome returns what a caller may conclude about its request. A code without
+// a class proves nothing, so its outcome is Unknown.
 func (e *Error) Outcome() Outcome {
 	if e.Unproved {
 		return Unknown
@@ -134,17 +135,18 @@
 	return Unknown
 }
 
-// New makes an error with a stack trace kept by cockroachdb/errors.
+// New returns an error with a stack trace recorded by cockroachdb/errors.
 func New(code Code, format string, args ...any) error {
 	return errors.WithStackDepth(&Error{Code: code, Message: fmt.Sprintf(format, args...)}, 1)
 }
 
-// Retry makes an error that tells the caller when to come back.
+// Retry returns an error that advises the caller when to retry.
 func Retry(code Code, after time.Duration, format string, args ...any) error {
 	return errors.WithStackDepth(&Error{Code: code, Message: fmt.Sprintf(format, args...), RetryAfter: after}, 1)
 }
 
-// Wrap gives a code to an error of a library, keeping the cause.
+// Wrap adds a code to an error of a library and retains the cause; it returns
+// nil for a nil cause.
 func Wrap(code Code, cause error, format string, args ...any) error {
 	if cause == nil {
 		return nil
@@ -153,7 +155,7 @@
 	return errors.WithSecondaryError(errors.WithStackDepth(&Error{Code: code, Message: msg}, 1), cause)
 }
 
-// From returns the typed error within err, or an Internal one around it.
+// From returns the typed error in err, or an Internal one with its message.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -162,7 +164,7 @@
 	return &Error{Code: Internal, Message: err.Error()}
 }
 
-// Is reports whether err carries the code.
+// Is reports whether err has the code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
