--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -18,91 +18,92 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Timing holds the intervals of the probes.
+// Timing holds the parameters of failure detection.
 type Timing struct {
-	Period    time.Duration // between rounds of probes
-	Peers     int           // probed in each round
-	Answer    time.Duration // deadline for a direct answer
-	Indirect  time.Duration // further deadline when others are asked to probe
-	Suspicion time.Duration // from suspicion to death
+	ProbePeriod      time.Duration // time between probe rounds
+	ProbesPerRound   int           // members probed in each round
+	ProbeTimeout     time.Duration // timeout of a direct probe
+	IndirectTimeout  time.Duration // additional timeout of the indirect probes
+	SuspicionTimeout time.Duration // time from suspect to dead
 }
 
-// DefaultTiming finds a silent host within about 3 s.
+// DefaultTiming detects a silent host within about 3 s.
 func DefaultTiming() Timing {
 	return Timing{
-		Period: 300 * time.Millisecond, Peers: 2, Answer: 300 * time.Millisecond,
-		Indirect: 400 * time.Millisecond, Suspicion: 1500 * time.Millisecond,
+		ProbePeriod: 300 * time.Millisecond, ProbesPerRound: 2, ProbeTimeout: 300 * time.Millisecond,
+		IndirectTimeout: 400 * time.Millisecond, SuspicionTimeout: 1500 * time.Millisecond,
 	}
 }
 
 const (
-	maxDatagram    = 8 << 10
-	indirectHelper = 2
+	maxDatagram = 8 << 10 // bytes
+	// indirectProbers is the number of members asked for an indirect probe.
+	indirectProbers = 2
 )
 
-// Gossip runs the probes of one host over UDP.
-// mu guards seq, waiting and lastAnswer.
+// Gossip sends and answers the probes of one host over UDP.
+// mu guards seq, pending, lastAck and reportedSize.
 type Gossip struct {
-	table  *Table
-	conn   net.PacketConn
-	fleet  string
-	timing Timing
-	seeds  func() []string // control addresses from settings and host list
-	events *event.Recorder
-	begun  time.Time
+	table   *Table
+	conn    net.PacketConn
+	fleet   string
+	timing  Timing
+	seeds   func() []string // control addresses from the settings and the host list
+	events  *event.Recorder
+	started time.Time
 
-	// Sent and Received count the bytes of the datagrams.
+	// Sent and Received count datagram bytes.
 	Sent     atomic.Int64
 	Received atomic.Int64
 
-	mu         sync.Mutex
-	seq        uint32
-	waiting    map[uint32]chan struct{}
-	lastAnswer time.Time
-	// told is the largest size of the fleet that another host has told.
-	told int
+	mu      sync.Mutex
+	seq     uint32
+	pending map[uint32]chan struct{}
+	lastAck time.Time
+	// reportedSize is the largest fleet size that another host has reported.
+	reportedSize int
 }
 
-// NewGossip makes the duty; Run starts it.
+// NewGossip returns a Gossip that Run starts.
 func NewGossip(t *Table, conn net.PacketConn, fleet string, timing Timing, seeds func() []string, events *event.Recorder) *Gossip {
 	return &Gossip{
 		table: t, conn: conn, fleet: fleet, timing: timing, seeds: seeds, events: events,
-		waiting: map[uint32]chan struct{}{}, lastAnswer: time.Now(), begun: time.Now(),
+		pending: map[uint32]chan struct{}{}, lastAck: time.Now(), started: time.Now(),
 	}
 }
 
-// Run probes and answers until ctx ends.
+// Run sends and answers probes until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { g.receive() })
-	duties.Go(func() { g.knock(ctx) })
-	duties.Go(func() { g.probeRounds(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { g.receive() })
+	wg.Go(func() { g.contactSeeds(ctx) })
+	wg.Go(func() { g.probeRounds(ctx) })
 	<-ctx.Done()
 	_ = g.conn.Close() // ends receive
-	duties.Wait()
+	wg.Wait()
 }
 
-// LastAnswer is when any peer last answered a probe.
+// LastAnswer returns when a peer last answered a probe.
 func (g *Gossip) LastAnswer() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lastAnswer
+	return g.lastAck
 }
 
 func (g *Gossip) probeRounds(ctx context.Context) {
-	tick := time.NewTicker(g.timing.Period)
+	tick := time.NewTicker(g.timing.ProbePeriod)
 	defer tick.Stop()
 	var probes sync.WaitGroup
 	defer probes.Wait()
 	for round := 0; ; round++ {
-		targets := g.table.targets(g.timing.Peers)
+		targets := g.table.targets(g.timing.ProbesPerRound)
 		for _, m := range targets {
 			probes.Go(func() { g.probe(ctx, m) })
 		}
-		if len(targets) < g.timing.Peers || round%seedRounds == 0 || time.Since(g.begun) < joinTime {
+		if len(targets) < g.timing.ProbesPerRound || round%roundsPerSeedPing == 0 || time.Since(g.started) < joinPeriod {
 			g.pingSeeds()
 		}
-		g.table.age(time.Now(), g.timing.Suspicion)
+		g.table.expire(time.Now(), g.timing.SuspicionTimeout)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -111,18 +112,18 @@
 	}
 }
 
-// knockPeriod is how often a host that has heard of nobody asks its seeds, for joinTime.
-const knockPeriod = 50 * time.Millisecond
+// contactPeriod is the time between pings to the seeds while no other member is known.
+const contactPeriod = 50 * time.Millisecond
 
-// knock asks the seeds until somebody is heard of.
+// contactSeeds pings the seeds until another member is known, for up to joinPeriod.
 //
-// Guard: the hosts of a fleet that starts at once are up one after the other within a
-// third of a second. A host whose first ping came before its seeds were up would go on
-// alone for a round of probes, and ask the store for all that others could tell it.
-func (g *Gossip) knock(ctx context.Context) {
-	tick := time.NewTicker(knockPeriod)
+// The hosts of a fleet that starts at once come up over a third of a second. Without
+// these pings, a host that pings its seeds before they are up would know no other member
+// for a probe round and would read from the store what the seeds can report.
+func (g *Gossip) contactSeeds(ctx context.Context) {
+	tick := time.NewTicker(contactPeriod)
 	defer tick.Stop()
-	for time.Since(g.begun) < joinTime && g.table.Live() == 1 {
+	for time.Since(g.started) < joinPeriod && g.table.Live() == 1 {
 		g.pingSeeds()
 		select {
 		case <-tick.C:
@@ -133,13 +134,15 @@
 }
 
 const (
-	// seedRounds is how seldom seeds are pinged once enough members are known.
-	seedRounds = 20
-	// maxSeeds bounds the seeds pinged in a round: a list of hundreds is drawn from.
+	// roundsPerSeedPing is the number of probe rounds for each ping to the seeds once
+	// enough members are known.
+	roundsPerSeedPing = 20
+	// maxSeeds is the number of seeds pinged at once, drawn from a list that may have
+	// hundreds.
 	maxSeeds = 4
-	// joinTime is how long a host that starts asks its seeds in each round: they are
-	// the ones that hear of all others of a fleet that starts at once.
-	joinTime = 1500 * time.Millisecond
+	// joinPeriod is how long a host that starts pings its seeds in each round. When a
+	// whole fleet starts at once, the seeds are the hosts that hear from all others.
+	joinPeriod = 1500 * time.Millisecond
 )
 
 func (g *Gossip) pingSeeds() {
@@ -153,37 +156,40 @@
 	}
 }
 
-// SettleTime is enough for a host that starts to hear of all others by way of one.
+// SettleTime is long enough for a starting host to learn of all others through one
+// of them.
 const SettleTime = 600 * time.Millisecond
 
-// Settled reports whether this host has run for long enough to know the fleet.
-func (g *Gossip) Settled() bool { return time.Since(g.begun) > SettleTime }
+// Settled reports whether this host has run long enough to know the fleet.
+func (g *Gossip) Settled() bool { return time.Since(g.started) > SettleTime }
 
-// Told is the largest size of the fleet that a settled host has told, 0 while none has.
+// Told returns the largest fleet size that a settled host has reported, or 0 if none
+// has.
 func (g *Gossip) Told() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.told
+	return g.reportedSize
 }
 
-// probe asks one member, then others to ask it, then its TCP port. A port
-// that refuses proves that the process ended; silence only makes suspect.
+// probe pings a member, then tries its TCP port, then asks other members to ping
+// it. A refused connection proves that the process has ended; silence only makes
+// the member suspect.
 func (g *Gossip) probe(ctx context.Context, m Member) {
-	if g.ask(ctx, m.ControlAddress, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING}, g.timing.Answer) {
+	if g.ping(ctx, m.ControlAddress, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING}, g.timing.ProbeTimeout) {
 		return
 	}
-	if Refuses(m.ControlAddress, g.timing.Answer) {
-		g.table.ProveDead(m.Incarnation, "its port refuses")
+	if Refuses(m.ControlAddress, g.timing.ProbeTimeout) {
+		g.table.ProveDead(m.Incarnation, "its port refuses connections")
 		return
 	}
-	for _, helper := range g.table.targets(indirectHelper) {
-		if helper.Incarnation != m.Incarnation {
-			g.send(helper.ControlAddress, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING_REQUEST, Target: m.ControlAddress})
+	for _, prober := range g.table.targets(indirectProbers) {
+		if prober.Incarnation != m.Incarnation {
+			g.send(prober.ControlAddress, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING_REQUEST, Target: m.ControlAddress})
 		}
 	}
 	before := time.Now()
 	select {
-	case <-time.After(g.timing.Indirect):
+	case <-time.After(g.timing.IndirectTimeout):
 	case <-ctx.Done():
 		return
 	}
@@ -194,7 +200,8 @@
 	g.table.missLeaving(m.Incarnation)
 }
 
-// Refuses reports whether the address actively refuses TCP connections.
+// Refuses reports whether an address refuses TCP connections. A timeout does not
+// count as a refusal.
 func Refuses(address string, timeout time.Duration) bool {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err == nil {
@@ -204,25 +211,26 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// ask sends a ping and waits for its answer.
-func (g *Gossip) ask(ctx context.Context, address string, m *wire.Gossip, wait time.Duration) bool {
-	done := make(chan struct{}, 1)
+// ping sends a ping and reports whether it was answered before the timeout. It
+// reports true when ctx ends, since that says nothing about the member.
+func (g *Gossip) ping(ctx context.Context, address string, m *wire.Gossip, timeout time.Duration) bool {
+	acked := make(chan struct{}, 1)
 	g.mu.Lock()
 	g.seq++
 	seq := g.seq
-	g.waiting[seq] = done
+	g.pending[seq] = acked
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
-		delete(g.waiting, seq)
+		delete(g.pending, seq)
 		g.mu.Unlock()
 	}()
 	m.Seq = seq
 	g.send(address, m)
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-done:
+	case <-acked:
 		return true
 	case <-timer.C:
 		return false
@@ -234,13 +242,13 @@
 func (g *Gossip) send(address string, m *wire.Gossip) {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return // a seed that is no address; settings are checked at start
+		return // not an address: settings are checked at startup
 	}
 	m.Version = wire.Version
 	m.Fleet = g.fleet
-	m.From = g.table.selfWord()
+	m.From = g.table.selfToWire()
 	if m.Members == nil {
-		m.Members = g.table.news(sampleSize)
+		m.Members = g.table.updates(sampleSize)
 	}
 	if g.Settled() {
 		m.Size = uint32(g.table.Live())
@@ -251,7 +259,7 @@
 		return
 	}
 	g.Sent.Add(int64(len(b)))
-	_, _ = g.conn.WriteTo(b, to) // a lost datagram is the normal case of UDP
+	_, _ = g.conn.WriteTo(b, to) // errors are ignored since UDP may lose datagrams anyway
 }
 
 func (g *Gossip) receive() {
@@ -267,7 +275,7 @@
 		g.Received.Add(int64(n))
 		var m wire.Gossip
 		if proto.Unmarshal(buf[:n], &m) != nil || m.Version != wire.Version || m.Fleet != g.fleet || m.From == nil {
-			continue // not of this fleet or version: as if never sent
+			continue // malformed, or from another fleet or protocol version
 		}
 		g.handle(&m, from.String())
 	}
@@ -275,38 +283,38 @@
 
 func (g *Gossip) handle(m *wire.Gossip, from string) {
 	g.events.Witness(m.Lamport)
-	g.table.Heard(m.From)
-	for _, w := range m.Members {
-		g.table.Learn(w)
+	g.table.RecordContact(m.From)
+	for _, reported := range m.Members {
+		g.table.Learn(reported)
 	}
-	g.sized(int(m.Size))
+	g.noteFleetSize(int(m.Size))
 	switch m.Kind {
 	case wire.GossipKind_GOSSIP_PING:
-		news := g.table.newsFor(ident.Incarnation(m.From.Incarnation))
-		g.send(from, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_ACK, Seq: m.Seq, Members: news})
+		updates := g.table.updatesFor(ident.Incarnation(m.From.Incarnation))
+		g.send(from, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_ACK, Seq: m.Seq, Members: updates})
 	case wire.GossipKind_GOSSIP_PING_REQUEST:
 		g.send(m.Target, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING})
 	case wire.GossipKind_GOSSIP_ACK:
-		g.answered(m.Seq)
+		g.handleAck(m.Seq)
 	}
 }
 
-// sized notes the size of the fleet that another host tells, while this one has just
-// started; after that its own list tells.
-func (g *Gossip) sized(n int) {
+// noteFleetSize records the fleet size that another host reports. Once this host has
+// settled, it relies on its own member list instead.
+func (g *Gossip) noteFleetSize(n int) {
 	if g.Settled() {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told = max(g.told, n)
+	g.reportedSize = max(g.reportedSize, n)
 }
 
-func (g *Gossip) answered(seq uint32) {
+func (g *Gossip) handleAck(seq uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lastAnswer = time.Now()
-	if c := g.waiting[seq]; c != nil {
+	g.lastAck = time.Now()
+	if c := g.pending[seq]; c != nil {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -314,10 +322,11 @@
 	}
 }
 
-// heardSince reports whether a member was heard of as alive after a moment.
+// heardSince reports whether a member has contacted this host since the given time.
+// It reports true for a member that is no longer in the table.
 func (t *Table) heardSince(inc ident.Incarnation, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.members[inc]
-	return r == nil || r.heard.After(at)
+	return r == nil || r.lastContact.After(at)
 }
--- a/internal/member/news.go
+++ b/internal/member/news.go
@@ -10,90 +10,94 @@
 )
 
 const (
-	// updateSends is how often one piece of news rides on a datagram, times
-	// the logarithm of the fleet.
-	updateSends = 3
-	maxUpdates  = 8
-	sampleSize  = 3
-	// A host that joined within newcomerTime is answered with newcomerSample members:
-	// one that starts in a fleet of 200 would else hear of all after 2 s. It is a
-	// datagram of 2 KB.
-	newcomerTime   = 3 * time.Second
+	// baseTransmits plus the base-2 logarithm of the fleet size is the number of
+	// datagrams that carry an update.
+	baseTransmits = 3
+	// maxUpdates is the maximum number of updates in a datagram, sampleSize the number
+	// of random members added to them.
+	maxUpdates = 8
+	sampleSize = 3
+	// A host first seen within newcomerPeriod is answered with newcomerSample random
+	// members, a datagram of 2 KB. With sampleSize members, a host that joins a fleet of
+	// 200 would know all of them only after 2 s.
+	newcomerPeriod = 3 * time.Second
 	newcomerSample = 24
 )
 
-// rounds is how often news has to be repeated to reach the whole fleet.
-func (t *Table) rounds() int {
-	n := updateSends
+// maxTransmits returns how often an update has to be sent to reach the whole fleet.
+func (t *Table) maxTransmits() int {
+	n := baseTransmits
 	for size := len(t.members) + 1; size > 1; size /= 2 {
 		n++
 	}
 	return n
 }
 
-// news picks what rides on the next datagram: fresh changes first, then some members at
-// random, which repair what was lost.
-func (t *Table) news(sample int) []*wire.Member {
+// updates selects the entries for the next datagram: recent changes first, then random
+// members, which make up for lost datagrams.
+func (t *Table) updates(sample int) []*wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*wire.Member
-	var rest []*record
+	var others []*record
 	for _, r := range t.members {
-		if r.sends > 0 && len(out) < maxUpdates {
-			r.sends--
-			out = append(out, r.word())
+		if r.transmitsLeft > 0 && len(out) < maxUpdates {
+			r.transmitsLeft--
+			out = append(out, r.toWire())
 			continue
 		}
 		if r.machine.State() != Dead {
-			rest = append(rest, r)
+			others = append(others, r)
 		}
 	}
-	for i := 0; i < sample && len(rest) > 0; i++ {
-		k := rand.IntN(len(rest))
-		out = append(out, rest[k].word())
-		rest = append(rest[:k], rest[k+1:]...)
+	for i := 0; i < sample && len(others) > 0; i++ {
+		k := rand.IntN(len(others))
+		out = append(out, others[k].toWire())
+		others = append(others[:k], others[k+1:]...)
 	}
 	return out
 }
 
-// newsFor is news for an answer to a host: one that has just joined is told of many, of
-// the largest first, since one of those is the home.
-func (t *Table) newsFor(inc ident.Incarnation) []*wire.Member {
-	if !t.newcomer(inc) {
-		return t.news(sampleSize)
+// updatesFor selects the entries for an answer to a host. A newcomer gets a larger sample
+// that begins with the largest members, since one of those is the home, the host that runs
+// the scheduler.
+func (t *Table) updatesFor(inc ident.Incarnation) []*wire.Member {
+	if !t.isNewcomer(inc) {
+		return t.updates(sampleSize)
 	}
 	out := t.largest()
-	return append(out, t.news(newcomerSample)...)
+	return append(out, t.updates(newcomerSample)...)
 }
 
-func (t *Table) newcomer(inc ident.Incarnation) bool {
+func (t *Table) isNewcomer(inc ident.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.members[inc]
-	return r != nil && time.Since(r.joined) < newcomerTime
+	return r != nil && time.Since(r.firstSeen) < newcomerPeriod
 }
 
-// mostLargest is how many of the largest members a host that joins is told of.
-const mostLargest = 8
+// maxLargest is the number of largest members in an answer to a newcomer.
+const maxLargest = 8
 
-// largest are the lines of the largest members.
+// largest returns the entries of the largest members.
 func (t *Table) largest() []*wire.Member {
 	var out []*wire.Member
-	for _, m := range t.First(anyService, mostLargest) {
+	for _, m := range t.First(anyService, maxLargest) {
 		t.mu.Lock()
 		if r := t.members[m.Incarnation]; r != nil {
-			out = append(out, r.word())
+			out = append(out, r.toWire())
 		}
 		t.mu.Unlock()
 	}
 	return out
 }
 
-// anyService ranks members of one size in some order.
+// anyService is the service name under which largest ranks members; it only decides the
+// order of members of equal capacity.
 const anyService = ""
 
-// word is the line as this host would tell it.
-func (r *record) word() *wire.Member {
+// toWire returns the member's entry as this host reports it to others.
+func (r *record) toWire() *wire.Member {
 	states := map[chart.State]wire.MemberState{
 		Alive: wire.MemberState_MEMBER_ALIVE, Suspect: wire.MemberState_MEMBER_SUSPECT,
 		Leaving: wire.MemberState_MEMBER_LEAVING, Dead: wire.MemberState_MEMBER_DEAD,
@@ -107,8 +111,8 @@
 	}
 }
 
-// selfWord is this host's own line, for the head of each datagram.
-func (t *Table) selfWord() *wire.Member {
+// selfToWire returns this host's own entry, which each datagram carries.
+func (t *Table) selfToWire() *wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.self
@@ -119,25 +123,25 @@
 	}
 }
 
-// targets picks up to n random members to probe. The dead are probed too,
-// seldom, so that a parted network finds itself again.
+// targets selects up to n random members to probe. Now and then it adds a dead
+// member without proof of its end, so that a fleet recovers from a network partition.
 func (t *Table) targets(n int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var live, dead []*record
+	var live, unproved []*record
 	for _, r := range t.members {
 		switch {
 		case r.machine.State() != Dead:
 			live = append(live, r)
 		case !r.proved:
-			dead = append(dead, r)
+			unproved = append(unproved, r)
 		}
 	}
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	t.nearFirst(live)
+	t.sameZoneFirst(live)
 	chosen := live[:min(n, len(live))]
-	if len(dead) > 0 && rand.IntN(deadProbeOdds) == 0 {
-		chosen = append(chosen, dead[rand.IntN(len(dead))])
+	if len(unproved) > 0 && rand.IntN(deadProbeOdds) == 0 {
+		chosen = append(chosen, unproved[rand.IntN(len(unproved))])
 	}
 	out := make([]Member, 0, len(chosen))
 	for _, r := range chosen {
@@ -148,25 +152,27 @@
 	return out
 }
 
+// One call of targets in deadProbeOdds adds a dead member.
 const deadProbeOdds = 3
 
-// farOdds is how seldom a probe goes to any host rather than to one of the own
-// availability zone. News crosses the border of a zone of 40 hosts 60 times a second so,
-// which is plenty; with probes to all alike four fifths of their bytes went between zones,
-// where they are paid.
-const farOdds = 4
-
-// nearFirst puts members of the own availability zone first, in all but one of farOdds
-// rounds. A host that is alone in its zone probes all alike. The caller holds mu.
-func (t *Table) nearFirst(live []*record) {
-	if rand.IntN(farOdds) == 0 {
+// One probe round in anyZoneOdds draws from all members instead of preferring those of the
+// same availability zone. That way updates leave or enter a zone of 40 hosts 60 times a
+// second, which is enough. Uniform probes would send four fifths of their bytes between
+// zones, where traffic is charged.
+const anyZoneOdds = 4
+
+// sameZoneFirst moves members of the same availability zone to the front, except in one
+// round of anyZoneOdds. A host that is alone in its zone probes all members uniformly. The
+// caller holds mu.
+func (t *Table) sameZoneFirst(live []*record) {
+	if rand.IntN(anyZoneOdds) == 0 {
 		return
 	}
-	near := 0
+	sameZone := 0
 	for i, r := range live {
 		if r.wire.Zone == t.self.Zone {
-			live[near], live[i] = live[i], live[near]
-			near++
+			live[sameZone], live[i] = live[i], live[sameZone]
+			sameZone++
 		}
 	}
 }
--- a/internal/member/rank.go
+++ b/internal/member/rank.go
@@ -8,19 +8,20 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Rank orders the members that may serve a service: the largest first, by
-// rendezvous weight among those of one size, limited to n. The home of a large
-// fleet needs more processor than the smallest hosts have. Members that leave or are dead are left out;
-// suspects stay until they are dead, so that a lost datagram moves no home.
+// Rank returns the first n members that may be the home of a service, ordered by
+// capacity and, for equal capacity, by rendezvous weight. The largest hosts come
+// first because the home of a large fleet needs more CPU than the smallest hosts
+// have. Leaving and dead members are excluded; suspects are included until they are
+// dead, so that a lost datagram does not move a home.
 func Rank(service string, members []Member, n int) []Member {
-	type weighed struct {
+	type weighted struct {
 		Member
 		weight uint64
 	}
-	var all []weighed
+	var all []weighted
 	for _, m := range members {
 		if m.State == Alive || m.State == Suspect {
-			all = append(all, weighed{m, weight(service, m.Incarnation)})
+			all = append(all, weighted{m, weight(service, m.Incarnation)})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool {
@@ -36,16 +37,16 @@
 	return out
 }
 
-// weight hashes by incarnation: a restarted host does not take its cells
-// back at once by its name, it competes as a new one.
+// weight hashes the incarnation rather than the host name, so that a restarted
+// host competes as a new one and does not take its services back at once.
 func weight(service string, inc ident.Incarnation) uint64 {
 	return xxhash.Sum64String(service + "\x00" + inc.String())
 }
 
-// Home returns the host that schedules a service, false when no member can.
-// It follows from the member list alone: no election and nothing stored. Two
-// hosts may believe in different homes for a moment; a host follows one home
-// at a time, so what it holds is still scheduled once.
+// Home returns the home of a service, the host that runs the scheduler, or false if
+// no member can be it. The home follows from the member list alone, without election
+// or stored state. Hosts may briefly disagree on the home; since a host follows one
+// home at a time, the requests that it holds are still scheduled only once.
 func Home(service string, members []Member, n int) (Member, bool) {
 	ranked := Rank(service, members, n)
 	if len(ranked) == 0 {
@@ -54,19 +55,19 @@
 	return ranked[0], true
 }
 
-// maxRanked is the longest ranking that First gives.
+// maxRanked is the maximum length of the rankings that First returns.
 const maxRanked = 16
 
 // First returns the first n hosts of a service's ranking, at most maxRanked; see Rank.
-// The list is shared by all callers.
+// All callers share the list and must not modify it.
 func (t *Table) First(service string, n int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := t.all()
-	ranked, known := t.ranks[service]
+	list := t.allLocked()
+	ranked, known := t.rankings[service]
 	if !known {
 		ranked = Rank(service, list, maxRanked)
-		t.ranks[service] = ranked
+		t.rankings[service] = ranked
 	}
 	return ranked[:min(n, len(ranked))]
 }
--- a/internal/member/rank_test.go
+++ b/internal/member/rank_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("the home of a service", func() {
 	const services = 42
 
-	It("is the same on every host, whatever the order of its list", func() {
+	It("is the same on every host, whatever the order of the list", func() {
 		all := fleet(50)
 		for s := range services {
 			name := fmt.Sprint("service-", s)
@@ -31,8 +31,8 @@
 		}
 	})
 
-	// Story: one host dies and every queue of the fleet moves. Cause: homes
-	// that depend on the number of hosts.
+	// If homes depended on the number of hosts, the death of one host would move every
+	// queue of the fleet.
 	It("moves only for the services of a host that dies", func() {
 		all := fleet(50)
 		for s := range services {
@@ -57,7 +57,7 @@
 		}
 	})
 
-	It("is no host that leaves or is dead, and none when there is no other", func() {
+	It("is never a leaving or dead host, and does not exist without another host", func() {
 		all := fleet(3)
 		first, _ := Home("s", all, 9)
 		for i := range all {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,12 +1,12 @@
-// Package member keeps the list of entry hosts by partial heartbeats: each
-// host probes a fixed number of random peers in a period and lets news ride
-// on the probes, so the cost of a host does not grow with the fleet. The
-// host list of the platform only seeds it.
+// Package member maintains the list of entry hosts with a SWIM-like gossip
+// protocol. Each host probes a fixed number of random peers in a period and
+// piggybacks membership updates on the probes, so the cost for a host does not
+// grow with the fleet. The host list of the platform only provides seeds.
 //
-// Failure cases: a process that died refuses connections, which proves its
-// end at once; a host that is silent is suspected first, asked for through
-// others, and counted as dead without proof; a member wrongly counted as dead
-// refutes it with a higher beat.
+// A process that has died refuses connections, which proves its end at once. A
+// silent host is probed through other hosts, then becomes suspect, then counts
+// as dead without proof. A member wrongly counted as dead refutes it with a
+// higher beat, the version number of its entry.
 package member
 
 import (
@@ -32,12 +32,11 @@
 	AdminAddress   string            `json:"admin_address"`
 	State          chart.State       `json:"state"`
 	ConfigVersion  uint64            `json:"config_version"`
-	// Capacity is the host's processor in thousandths of a core, 0 when not
-	// known.
+	// Capacity is the host's CPU in thousandths of a core, 0 if unknown.
 	Capacity uint32 `json:"capacity,omitempty"`
-	// Proved says that the process is known to have ended.
+	// Proved reports whether the process is known to have ended.
 	Proved bool `json:"proved,omitempty"`
-	// Since is when this host saw it enter its state.
+	// Since is when this host saw the member enter its state.
 	Since time.Time `json:"since"`
 }
 
@@ -51,45 +50,46 @@
 
 var memberChart = charts.MustLoad().Member
 
-// record is the table's line for a member.
+// record is the table's entry for a member.
 type record struct {
-	wire    *wire.Member
-	machine chart.Machine
-	proved  bool
-	since   time.Time // of the current state
-	joined  time.Time // when this host first heard of it
-	heard   time.Time // when the member itself last spoke to this host
-	sends   int       // how often this line still rides along
+	wire          *wire.Member
+	machine       chart.Machine
+	proved        bool
+	stateSince    time.Time // start of the current state
+	firstSeen     time.Time // when this host learned of the member
+	lastContact   time.Time // when the member last contacted this host
+	transmitsLeft int       // number of datagrams that are still to carry this entry
 }
 
-// Table is the membership as one host sees it. mu guards self, members, view and
-// ranks.
+// Table is the membership as one host sees it. mu guards self, members, sorted and
+// rankings.
 type Table struct {
 	events  *event.Recorder
-	horizon time.Duration
+	horizon time.Duration // how long dead members are kept
 
 	mu      sync.Mutex
 	self    *wire.Member
 	members map[ident.Incarnation]*record
-	// view is what All returned last, nil when a member has changed since; ranks holds
-	// the first maxRanked of each service's ranking, as of view. With hundreds of hosts
-	// a listing takes 0.1 ms, and a home is asked who the home is with each call for a
-	// table.
-	view  []Member
-	ranks map[string][]Member
+	// sorted is the list that All returns, nil if a member has changed since it was built.
+	// rankings holds the first maxRanked members of each service's ranking of that list.
+	// They are cached because building the list of hundreds of hosts takes 0.1 ms, and a
+	// home looks up who the home is on each call for a table.
+	sorted   []Member
+	rankings map[string][]Member
 
 	changed notify.Set
 }
 
-// NewTable makes a table that holds only the host itself.
+// NewTable returns a table that contains only this host. Dead members are kept for
+// horizon.
 func NewTable(self *wire.Member, horizon time.Duration, events *event.Recorder) *Table {
 	return &Table{events: events, horizon: horizon, self: self, members: map[ident.Incarnation]*record{}}
 }
 
-// Subscribe returns a channel that yields a token after changes.
+// Subscribe returns a channel that receives a token after changes.
 func (t *Table) Subscribe() <-chan struct{} { return t.changed.Subscribe() }
 
-// Self returns the host's own line.
+// Self returns this host's own entry.
 func (t *Table) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,32 +113,32 @@
 	}
 }
 
-// All lists every known member including the host itself and the dead ones
-// of the horizon, ordered by host name and incarnation. The list is shared by all
-// callers, who only read it.
+// All returns all known members, including this host and the dead members of the
+// horizon, ordered by host name and incarnation. All callers share the list and must
+// not modify it.
 func (t *Table) All() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.all()
+	return t.allLocked()
 }
 
-// touch drops what was worked out from the members. The caller holds mu.
-func (t *Table) touch() { t.view = nil }
+// invalidate drops the cached list and rankings. The caller holds mu.
+func (t *Table) invalidate() { t.sorted = nil }
 
-// all is All with mu held.
-func (t *Table) all() []Member {
-	if t.view == nil {
-		t.view, t.ranks = t.list(), map[string][]Member{}
+// allLocked is All for callers that hold mu.
+func (t *Table) allLocked() []Member {
+	if t.sorted == nil {
+		t.sorted, t.rankings = t.buildList(), map[string][]Member{}
 	}
-	return t.view
+	return t.sorted
 }
 
-func (t *Table) list() []Member {
+func (t *Table) buildList() []Member {
 	out := []Member{t.selfMember()}
 	for _, r := range t.members {
 		m := fromWire(r.wire)
 		m.State = r.machine.State()
-		m.Proved, m.Since = r.proved, r.since
+		m.Proved, m.Since = r.proved, r.stateSince
 		out = append(out, m)
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -150,7 +150,7 @@
 	return out
 }
 
-// Get returns the line of one incarnation.
+// Get returns the entry of an incarnation.
 func (t *Table) Get(inc ident.Incarnation) (Member, bool) {
 	for _, m := range t.All() {
 		if m.Incarnation == inc {
@@ -160,59 +160,59 @@
 	return Member{}, false
 }
 
-// SetLeaving tells the fleet that this host drains.
+// SetLeaving announces that this host is draining.
 func (t *Table) SetLeaving() {
 	t.mu.Lock()
 	t.self.State = wire.MemberState_MEMBER_LEAVING
 	t.self.Beat++
-	t.touch()
+	t.invalidate()
 	t.changed.Notify()
 	t.mu.Unlock()
 }
 
-// SetConfigVersion tells the fleet which configuration is in force here.
+// SetConfigVersion announces the version of the configuration in force on this host.
 func (t *Table) SetConfigVersion(v uint64) {
 	t.mu.Lock()
 	t.self.ConfigVersion = v
 	t.self.Beat++
-	t.touch()
+	t.invalidate()
 	t.mu.Unlock()
 }
 
 // ProveDead records that the process of an incarnation has ended.
-func (t *Table) ProveDead(inc ident.Incarnation, how string) {
+func (t *Table) ProveDead(inc ident.Incarnation, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.members[inc]; r != nil {
-		t.prove(r, how)
+		t.recordProof(r, reason)
 	}
 }
 
-// prove marks a record as provably ended; the proof spreads with the news of
-// the death. The caller holds mu.
-func (t *Table) prove(r *record, how string) {
+// recordProof marks a member's process as proven to have ended. The proof is sent with
+// the update about its death. The caller holds mu.
+func (t *Table) recordProof(r *record, reason string) {
 	if r.proved {
 		return
 	}
 	r.proved = true
-	t.touch()
+	t.invalidate()
 	t.fire(r, "die")
-	r.sends = t.rounds()
+	r.transmitsLeft = t.maxTransmits()
 	t.changed.Notify()
 	inc := ident.Incarnation(r.wire.Incarnation)
-	t.events.Record(event.MemberProvedBy, event.Fields{Peer: r.wire.Host, Detail: inc.String() + ": " + how})
+	t.events.Record(event.MemberProvedBy, event.Fields{Peer: r.wire.Host, Detail: inc.String() + ": " + reason})
 }
 
-// fire moves a record through its chart and records what changed. The caller
+// fire takes the chart transition of a record and logs a change of state. The caller
 // holds mu.
 func (t *Table) fire(r *record, e chart.Event) {
 	before := r.machine.State()
 	if r.machine.Fire(e) != nil || r.machine.State() == before {
 		return
 	}
-	r.since = time.Now()
-	r.sends = t.rounds()
-	t.touch()
+	r.stateSince = time.Now()
+	r.transmitsLeft = t.maxTransmits()
+	t.invalidate()
 	t.changed.Notify()
 	code := map[chart.State]event.Code{
 		Alive: event.MemberJoined, Suspect: event.MemberSuspect,
@@ -223,8 +223,8 @@
 	}
 }
 
-// Heard notes that a member itself spoke.
-func (t *Table) Heard(w *wire.Member) {
+// RecordContact applies a message that the member itself sent.
+func (t *Table) RecordContact(w *wire.Member) {
 	if w == nil || w.Incarnation == t.self.Incarnation || w.Incarnation == 0 {
 		return
 	}
@@ -234,7 +234,7 @@
 	if !r.proved {
 		t.replaceOthersAt(w)
 	}
-	r.heard = time.Now()
+	r.lastContact = time.Now()
 	switch {
 	case r.proved:
 	case w.State == wire.MemberState_MEMBER_LEAVING:
@@ -246,7 +246,7 @@
 	}
 }
 
-// Learn takes another host's word about a member.
+// Learn applies another host's report about a member.
 func (t *Table) Learn(w *wire.Member) {
 	if w == nil || w.Incarnation == 0 {
 		return
@@ -259,34 +259,35 @@
 	}
 	known := t.members[ident.Incarnation(w.Incarnation)]
 	if known == nil && w.State == wire.MemberState_MEMBER_DEAD {
-		// Not heard of while it lived: kept as dead, for coverage.
+		// Unknown while it was alive: kept as dead so that coverage can be checked.
 		known = t.merge(w)
 		known.proved = w.Proved
-		t.touch()
+		t.invalidate()
 		t.fire(known, "die")
 		return
 	}
 	if known != nil && w.Proved {
-		t.prove(known, "another host proved it")
+		t.recordProof(known, "another host reported the proof")
 		return
 	}
 	if known != nil && w.Beat < known.wire.Beat {
 		return
 	}
-	if known == nil && !t.succeeds(w) {
+	if known == nil && !t.supersedeAtAddress(w) {
 		return
 	}
 	newer := known == nil || w.Beat > known.wire.Beat
 	r := t.merge(w)
-	t.follow(r, w.State, newer)
+	t.applyState(r, w.State, newer)
 }
 
-// succeeds reports whether w, of which others tell, is not the predecessor of a member at its
-// address; the members that it succeeds count as dead from now on, without proof.
+// supersedeAtAddress marks the older incarnations at the control address of w, a member
+// reported by others, as dead without proof. It reports false if w itself is the older one.
 //
-// Guard: words of two incarnations at one address come in any order. A host that starts is
-// told of itself, its predecessor and others' in lists of different age.
-func (t *Table) succeeds(w *wire.Member) bool {
+// Start times decide because reports about two incarnations at one address arrive in any
+// order: a starting host receives lists of different age, with its own predecessor and those
+// of other hosts among them.
+func (t *Table) supersedeAtAddress(w *wire.Member) bool {
 	if w.ControlAddress != "" && w.ControlAddress == t.self.ControlAddress {
 		return false // this host's own predecessor
 	}
@@ -302,10 +303,10 @@
 	return true
 }
 
-// follow applies a reported state. An old beat can only make things worse
-// (suspect, dead); only a newer beat, which the member itself raised, makes
-// them better.
-func (t *Table) follow(r *record, s wire.MemberState, newer bool) {
+// applyState applies a reported state. A report with a known beat can only worsen
+// the state (suspect, leaving, dead). Only a newer beat, which the member itself
+// raised, can improve it.
+func (t *Table) applyState(r *record, s wire.MemberState, newer bool) {
 	if r.proved {
 		return
 	}
@@ -325,7 +326,7 @@
 	}
 }
 
-// refute answers a wrong word about this host with a higher beat.
+// refute raises this host's beat above that of a report that calls it suspect or dead.
 func (t *Table) refute(w *wire.Member) {
 	wrong := w.State == wire.MemberState_MEMBER_SUSPECT || w.State == wire.MemberState_MEMBER_DEAD
 	if wrong && w.Beat >= t.self.Beat {
@@ -333,14 +334,14 @@
 	}
 }
 
-// merge stores the newest line of a member.
+// merge stores an entry unless the known one has a higher beat.
 func (t *Table) merge(w *wire.Member) *record {
 	inc := ident.Incarnation(w.Incarnation)
 	r := t.members[inc]
 	if r == nil {
-		r = &record{wire: w, machine: memberChart.Start(), since: time.Now(), joined: time.Now(), sends: t.rounds()}
+		r = &record{wire: w, machine: memberChart.Start(), stateSince: time.Now(), firstSeen: time.Now(), transmitsLeft: t.maxTransmits()}
 		t.members[inc] = r
-		t.touch()
+		t.invalidate()
 		if w.State != wire.MemberState_MEMBER_DEAD {
 			t.changed.Notify()
 			t.events.Record(event.MemberJoined, event.Fields{Peer: w.Host, Detail: inc.String()})
@@ -349,32 +350,32 @@
 	}
 	if w.Beat >= r.wire.Beat {
 		if w.Beat > r.wire.Beat {
-			t.touch()
+			t.invalidate()
 		}
 		if w.ConfigVersion > r.wire.ConfigVersion {
 			t.changed.Notify()
 		}
 		if w.Beat > r.wire.Beat {
-			r.sends = t.rounds()
+			r.transmitsLeft = t.maxTransmits()
 		}
 		r.wire = w
 	}
 	return r
 }
 
-// replaceOthersAt proves that the incarnations before w at its control address have ended:
-// the port was free to bind. Only w itself can tell: what others tell of two incarnations at
-// one address comes in any order.
+// replaceOthersAt records that all other incarnations at the control address of w have
+// ended, since w could bind the port. This holds only for a message from w itself: reports
+// by others about two incarnations at one address arrive in any order.
 func (t *Table) replaceOthersAt(w *wire.Member) {
 	for _, other := range t.members {
 		if other.wire.ControlAddress == w.ControlAddress && other.wire.Incarnation != w.Incarnation {
-			t.prove(other, "replaced at its address")
+			t.recordProof(other, "replaced by a new incarnation at its address")
 		}
 	}
 }
 
-// miss notes that a member did not answer; after suspicion has lasted, it is
-// counted as dead.
+// miss makes a member that did not answer suspect. expire marks it as dead once the
+// suspicion has lasted long enough.
 func (t *Table) miss(inc ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -384,23 +385,24 @@
 	}
 }
 
-// age turns long suspicion into death and forgets what passed the horizon.
-func (t *Table) age(now time.Time, suspicion time.Duration) {
+// expire marks long suspect members as dead and removes those dead for longer than the
+// horizon.
+func (t *Table) expire(now time.Time, suspicion time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for inc, r := range t.members {
 		switch {
-		case r.machine.State() == Suspect && now.Sub(r.since) > suspicion:
+		case r.machine.State() == Suspect && now.Sub(r.stateSince) > suspicion:
 			t.fire(r, "die")
-		case r.machine.State() == Dead && now.Sub(r.since) > t.horizon:
+		case r.machine.State() == Dead && now.Sub(r.stateSince) > t.horizon:
 			delete(t.members, inc)
-			t.touch()
+			t.invalidate()
 			t.events.Record(event.MemberForgot, event.Fields{Peer: r.wire.Host, Detail: inc.String()})
 		}
 	}
 }
 
-// missLeaving counts a leaving member that no longer answers as dead.
+// missLeaving marks a leaving member that no longer answers as dead.
 func (t *Table) missLeaving(inc ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -409,7 +411,7 @@
 	}
 }
 
-// Live is how many hosts live as far as is known, this one included.
+// Live returns the number of members that are not dead, this host included.
 func (t *Table) Live() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
