--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,5 +1,5 @@
-// Package ident defines the identifiers that travel between processes:
-// request ids and host incarnations.
+// Package ident defines the identifiers that processes exchange: request ids,
+// host incarnations, and short ids of backend servers and client accounts.
 package ident
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// requestIDLen is the length of a request id in bytes, incarnationDigits that
-// of an incarnation as text.
+// requestIDLen is the length of a request id in bytes, incarnationDigits the
+// number of hex digits of an incarnation.
 const (
 	requestIDLen      = 16
 	incarnationDigits = 16
 )
 
-// Incarnation names one process start of one entry host. It is random, so a
-// host restarted on the same address is never mistaken for its predecessor.
+// Incarnation identifies one process start of one entry host. It is random, so
+// a host restarted at the same address is never mistaken for its predecessor.
 type Incarnation uint64
 
-// NewIncarnation draws an incarnation from the system's random source.
+// NewIncarnation returns a non-zero incarnation from the system's random source.
 func NewIncarnation() Incarnation {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic(err) // crypto/rand documents that it never fails on Linux.
+		panic(err) // crypto/rand documents that it never fails on Linux
 	}
 	return Incarnation(binary.BigEndian.Uint64(b[:]) | 1)
 }
@@ -38,7 +38,8 @@
 	return fmt.Sprintf("%0*x", incarnationDigits, uint64(i))
 }
 
-// ParseIncarnation reads the form that String writes.
+// ParseIncarnation parses the format of Incarnation.String. It fails with
+// BadRequest.
 func ParseIncarnation(s string) (Incarnation, error) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || v == 0 || len(s) != incarnationDigits {
@@ -47,17 +48,18 @@
 	return Incarnation(v), nil
 }
 
-// RequestID identifies one request over all its attempts. The first eight
-// bytes of a minted id are the incarnation whose ticket it was minted under;
-// a keyed id is a hash of the client account and its Idempotency-Key.
+// RequestID identifies one request across all its attempts. The first eight
+// bytes of a generated id are the incarnation of the host that the request is
+// sent to first, its ticket; a keyed id is a hash of the client account and the
+// Idempotency-Key.
 type RequestID [requestIDLen]byte
 
-// Mint makes a fresh id under the ticket of an incarnation.
-func Mint(ticket Incarnation) RequestID {
+// Mint generates a random id that begins with the given incarnation.
+func Mint(firstHost Incarnation) RequestID {
 	var id RequestID
-	binary.BigEndian.PutUint64(id[:8], uint64(ticket))
+	binary.BigEndian.PutUint64(id[:8], uint64(firstHost))
 	if _, err := rand.Read(id[8:]); err != nil {
-		panic(err) // crypto/rand documents that it never fails on Linux.
+		panic(err) // crypto/rand documents that it never fails on Linux
 	}
 	return id
 }
@@ -70,7 +72,7 @@
 	return id
 }
 
-// Ticket returns the incarnation that a minted id was made under.
+// Ticket returns the incarnation that a generated id begins with.
 func (id RequestID) Ticket() Incarnation {
 	return Incarnation(binary.BigEndian.Uint64(id[:8]))
 }
@@ -78,7 +80,7 @@
 // String returns the id as 32 hex digits.
 func (id RequestID) String() string { return hex.EncodeToString(id[:]) }
 
-// MarshalText implements encoding.TextMarshaler, for JSON histories.
+// MarshalText implements encoding.TextMarshaler; JSON histories use it.
 func (id RequestID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -91,7 +93,8 @@
 	return nil
 }
 
-// ParseRequestID reads the form that String writes.
+// ParseRequestID parses the format of RequestID.String. It fails with
+// BadRequest.
 func ParseRequestID(s string) (RequestID, error) {
 	var id RequestID
 	if len(s) != 2*requestIDLen {
@@ -103,11 +106,11 @@
 	return id, nil
 }
 
-// FromBytes reads an id from a wire message.
+// FromBytes decodes an id from a wire message. It fails with BadFrame.
 func FromBytes(b []byte) (RequestID, error) {
 	var id RequestID
 	if len(b) != requestIDLen {
-		return id, failure.New(failure.BadFrame, "request id of %d bytes", len(b))
+		return id, failure.New(failure.BadFrame, "request id has %d bytes", len(b))
 	}
 	copy(id[:], b)
 	return id, nil
--- a/internal/ident/names.go
+++ b/internal/ident/names.go
@@ -2,8 +2,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ServerID and AccountID stand for names in hot messages: four bytes in
-// place of a text. The configuration check refuses two names with one id.
+// ServerID and AccountID are four-byte hashes that replace names in frequent
+// messages. The configuration check rejects two names with the same id.
 type (
 	ServerID  uint32
 	AccountID uint32
