--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides the bounded queue that joins two duties. Many
-// goroutines may push; one goroutine takes everything that waits at once, so
-// that a burst costs one wake-up and one flush, not one for each item.
+// Package ring provides a bounded queue with many producers and one consumer.
+// The consumer takes all queued items at once, so that a burst costs one wake-up
+// and one flush instead of one for each item.
 package ring
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Ring is a bounded first-in first-out queue.
-// mu guards buf, head and n. ready and space each hold at most one token.
+// Ring is a bounded FIFO queue. mu guards buf, head and n. The channels ready
+// and space each hold at most one token.
 type Ring[T any] struct {
 	mu    sync.Mutex
 	buf   []T
@@ -21,12 +21,12 @@
 	space chan struct{}
 }
 
-// New makes a ring for size items.
+// New returns a ring with room for size items.
 func New[T any](size int) *Ring[T] {
 	return &Ring[T]{buf: make([]T, size), ready: make(chan struct{}, 1), space: make(chan struct{}, 1)}
 }
 
-// TryPush adds v, or reports false at once when the ring is full.
+// TryPush adds v without blocking and reports false if the ring is full.
 func (r *Ring[T]) TryPush(v T) bool {
 	r.mu.Lock()
 	ok := r.n < len(r.buf)
@@ -41,23 +41,24 @@
 	return ok
 }
 
-// Push adds v and waits for room. It fails with RingFull when ctx ends first.
+// Push adds v, blocking while the ring is full. It fails with RingFull if ctx
+// ends first.
 func (r *Ring[T]) Push(ctx context.Context, v T) error {
 	for !r.TryPush(v) {
 		select {
 		case <-r.space:
 		case <-ctx.Done():
-			return failure.Wrap(failure.RingFull, ctx.Err(), "ring of %d items stayed full", len(r.buf))
+			return failure.Wrap(failure.RingFull, ctx.Err(), "wait for room in a ring of %d items", len(r.buf))
 		}
 	}
-	// One token wakes one pusher; hand it on while there is still room.
+	// One token wakes one producer; wake the next while there is still room.
 	if r.Len() < len(r.buf) {
 		signal(r.space)
 	}
 	return nil
 }
 
-// Drain moves all waiting items behind dst and returns it.
+// Drain removes all queued items and returns dst with the items appended.
 func (r *Ring[T]) Drain(dst []T) []T {
 	r.mu.Lock()
 	var zero T
@@ -71,10 +72,10 @@
 	return dst
 }
 
-// Ready yields a token after items were pushed.
+// Ready returns a channel that receives a token after items were pushed.
 func (r *Ring[T]) Ready() <-chan struct{} { return r.ready }
 
-// Len returns how many items wait.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
