--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,5 +1,5 @@
-// Package charts embeds the state charts that the code interprets. Each is
-// parsed and checked when the process starts.
+// Package charts embeds the state charts that package chart interprets. Each
+// chart is parsed and checked when the process starts.
 package charts
 
 import (
@@ -26,7 +26,7 @@
 //go:embed rollout.yaml
 var rolloutYAML []byte
 
-// Set holds the checked charts.
+// Set holds the parsed charts.
 type Set struct {
 	Request *chart.Chart
 	Server  *chart.Chart
@@ -36,7 +36,7 @@
 	Rollout *chart.Chart
 }
 
-// Load parses all charts; it fails when any of them is damaged.
+// Load parses all charts and fails if any of them is invalid.
 func Load() (Set, error) {
 	var s Set
 	for _, c := range []struct {
@@ -52,8 +52,8 @@
 	return s, nil
 }
 
-// MustLoad is Load for package variables; the embedded charts are covered by
-// a test, so a failure here is a build fault.
+// MustLoad is like Load but panics on error; it initializes package variables.
+// A test covers the embedded charts, so an error here is a build fault.
 func MustLoad() Set {
 	s, err := Load()
 	if err != nil {
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,7 +1,6 @@
-// Package chart loads state charts from files and interprets them. Code that
-// changes the state of a request, a backend server, a lease or a member asks
-// its chart for the next state, so a transition that the file does not name
-// cannot happen.
+// Package chart parses and runs state charts. Code that changes the state of a
+// request, backend server, lease, member, link or rollout takes the next state
+// from its chart, so only transitions declared in the chart's file can happen.
 package chart
 
 import (
@@ -13,13 +12,13 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// State and Event are names declared in a chart's file.
+// State and Event are names that a chart's file declares.
 type (
 	State string
 	Event string
 )
 
-// Chart is one checked state chart. It is immutable after Parse.
+// Chart is a validated state chart. It is immutable after Parse.
 type Chart struct {
 	Name    string
 	Initial State
@@ -40,9 +39,9 @@
 	States  map[State]stateDef `yaml:"states"`
 }
 
-// Parse reads and checks a chart. It refuses unknown events, targets that do
-// not exist, states that cannot be reached and states without a way to a
-// final state, so a damaged chart stops the process at its start.
+// Parse decodes and validates a chart. It fails with BadChart on unknown events,
+// unknown target states, unreachable states and states with no path to a final
+// state, so that an invalid chart stops the process at startup.
 func Parse(text []byte) (*Chart, error) {
 	var doc document
 	dec := yaml.NewDecoder(bytes.NewReader(text))
@@ -65,7 +64,7 @@
 		return failure.New(failure.BadChart, "%s: initial state %q does not exist", c.Name, c.Initial)
 	}
 	used := map[Event]bool{}
-	for _, name := range c.names() {
+	for _, name := range c.stateNames() {
 		if err := c.checkState(name, used); err != nil {
 			return err
 		}
@@ -96,8 +95,8 @@
 }
 
 func (c *Chart) checkReachable() error {
-	seen := c.reach(c.Initial)
-	for _, name := range c.names() {
+	seen := c.reachable(c.Initial)
+	for _, name := range c.stateNames() {
 		if !seen[name] {
 			return failure.New(failure.BadChart, "%s: state %q cannot be reached", c.Name, name)
 		}
@@ -108,16 +107,16 @@
 	return nil
 }
 
-func (c *Chart) reach(from State) map[State]bool {
+func (c *Chart) reachable(from State) map[State]bool {
 	seen := map[State]bool{from: true}
-	todo := []State{from}
-	for len(todo) > 0 {
-		s := todo[0]
-		todo = todo[1:]
+	queue := []State{from}
+	for len(queue) > 0 {
+		s := queue[0]
+		queue = queue[1:]
 		for _, to := range c.states[s].On {
 			if !seen[to] {
 				seen[to] = true
-				todo = append(todo, to)
+				queue = append(queue, to)
 			}
 		}
 	}
@@ -125,7 +124,7 @@
 }
 
 func (c *Chart) reachesFinal(from State) bool {
-	for s := range c.reach(from) {
+	for s := range c.reachable(from) {
 		if c.states[s].Final {
 			return true
 		}
@@ -133,17 +132,17 @@
 	return false
 }
 
-func (c *Chart) names() []State {
-	names := make([]State, 0, len(c.states))
+func (c *Chart) stateNames() []State {
+	stateNames := make([]State, 0, len(c.states))
 	for s := range c.states {
-		names = append(names, s)
+		stateNames = append(stateNames, s)
 	}
-	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
-	return names
+	sort.Slice(stateNames, func(i, j int) bool { return stateNames[i] < stateNames[j] })
+	return stateNames
 }
 
-// Next returns the state that event leads to, or a BadChart failure when the
-// chart names no such transition.
+// Next returns the target of the transition from a state on e. It fails with
+// BadChart if the chart declares no such transition.
 func (c *Chart) Next(from State, e Event) (State, error) {
 	to, ok := c.states[from].On[e]
 	if !ok {
@@ -152,25 +151,25 @@
 	return to, nil
 }
 
-// Final reports whether s ends the chart.
+// Final reports whether s is a final state.
 func (c *Chart) Final(s State) bool { return c.states[s].Final }
 
-// Machine is one instance of a chart. Its owner guards it.
+// Machine is a running instance of a chart. Its owner serializes access.
 type Machine struct {
 	chart *Chart
 	state State
 }
 
-// Start makes a machine in the chart's initial state.
+// Start returns a machine in the chart's initial state.
 func (c *Chart) Start() Machine { return Machine{chart: c, state: c.Initial} }
 
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Final reports whether the machine has ended.
+// Final reports whether the machine is in a final state.
 func (m *Machine) Final() bool { return m.chart.Final(m.state) }
 
-// Fire takes the transition on e; on failure the state stays as it was.
+// Fire takes the transition on e. On failure the state does not change.
 func (m *Machine) Fire(e Event) error {
 	to, err := m.chart.Next(m.state, e)
 	if err != nil {
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "chart")
 }
 
-const good = `
+const validChart = `
 name: door
 initial: open
 events: [close, lock]
@@ -27,8 +27,8 @@
 `
 
 var _ = Describe("a chart", func() {
-	It("takes only the transitions of its file", func() {
-		c, err := chart.Parse([]byte(good))
+	It("takes only the transitions that its file declares", func() {
+		c, err := chart.Parse([]byte(validChart))
 		Expect(err).NotTo(HaveOccurred())
 		m := c.Start()
 		Expect(m.Fire("lock")).NotTo(Succeed())
@@ -38,21 +38,21 @@
 		Expect(m.Final()).To(BeTrue())
 	})
 
-	DescribeTable("refuses a damaged file at start",
+	DescribeTable("rejects an invalid file",
 		func(old, new, message string) {
-			_, err := chart.Parse([]byte(strings.Replace(good, old, new, 1)))
+			_, err := chart.Parse([]byte(strings.Replace(validChart, old, new, 1)))
 			Expect(err).To(MatchError(ContainSubstring(message)))
 		},
 		Entry("unknown event", "{close: closed}", "{slam: closed}", "unknown event"),
 		Entry("unknown target", "{close: closed}", "{close: ajar}", "unknown state"),
 		Entry("unreachable state", "locked: {final: true}", "locked: {final: true}\n  lost: {on: {lock: locked}}", "cannot be reached"),
-		Entry("no way out", "{lock: locked}}", "{lock: closed}}\n  gone: {final: true}", "has no way to a final state"),
-		Entry("final with a way out", "locked: {final: true}", "locked: {final: true, on: {close: closed}}", "final or have a way out"),
+		Entry("no path to a final state", "{lock: locked}}", "{lock: closed}}\n  gone: {final: true}", "has no way to a final state"),
+		Entry("final state with a transition", "locked: {final: true}", "locked: {final: true, on: {close: closed}}", "final or have a way out"),
 		Entry("unused event", "[close, lock]", "[close, lock, paint]", "never used"),
 		Entry("unknown field", "initial: open", "initial: open\ncolour: red", "colour"),
 	)
 
-	It("holds for every chart that is shipped", func() {
+	It("is valid in each embedded file", func() {
 		_, err := charts.Load()
 		Expect(err).NotTo(HaveOccurred())
 	})
