--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix hashes prompts by blocks. The hash of a block covers all
-// blocks before it, so two prompts share a prefix exactly as far as their
-// chains are equal.
+// Package prefix hashes prompts in blocks. The hash of a block also covers all
+// blocks before it, so the shared prefix of two prompts is as long as the equal
+// prefix of their hash chains.
 package prefix
 
 import (
@@ -9,21 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is the chained hash at a block boundary; 0 means no prefix.
+// Key is the chained hash at a block boundary. 0 means no prefix.
 type Key uint64
 
-// A token is estimated as BytesPerToken bytes of prompt; one block holds
-// BlockTokens tokens.
+// BytesPerToken is the estimated size of a prompt token, BlockTokens the number
+// of tokens in a block.
 const (
 	BytesPerToken = 4
 	BlockTokens   = 64
 	blockBytes    = BytesPerToken * BlockTokens
 )
 
-// Tokens estimates the prompt length in tokens.
+// Tokens estimates the length of a prompt in tokens.
 func Tokens(prompt string) int { return (len(prompt) + BytesPerToken - 1) / BytesPerToken }
 
-// Chain returns the key at each whole block of the prompt.
+// Chain returns the key at the end of each full block of a prompt.
 func Chain(prompt string) []Key {
 	n := len(prompt) / blockBytes
 	keys := make([]Key, 0, n)
--- a/internal/prefix/seen.go
+++ b/internal/prefix/seen.go
@@ -6,25 +6,25 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Seen finds the shared part of prompts: the longest chain of blocks that an
-// earlier prompt on this host began with. Safe for concurrent use.
+// Seen is an LRU set of prompt blocks that finds the longest prefix which a
+// prompt shares with earlier prompts on this host. It is safe for concurrent use.
 type Seen struct {
 	blocks *lru.Cache[Key, struct{}]
 }
 
-// NewSeen remembers up to size blocks, about 50 bytes each.
+// NewSeen returns a Seen for up to size blocks of about 50 bytes each.
 func NewSeen(size int) (*Seen, error) {
 	c, err := lru.New[Key, struct{}](size)
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSetting, err, "prefix memory of %d blocks", size)
+		return nil, failure.Wrap(failure.BadSetting, err, "prefix set for %d blocks", size)
 	}
 	return &Seen{blocks: c}, nil
 }
 
-// Observe remembers the prompt and returns the key and length in tokens of
-// the prefix it shares with earlier ones; key 0 when it shares none. The
-// first prompt of a kind therefore has no key: one miss for each new prefix
-// and host is the price of not being told prefixes by the callers.
+// Observe adds a prompt and returns the key and the length in tokens of the
+// prefix that it shares with earlier prompts, or key 0 if it shares none. The
+// first prompt with a prefix therefore has no key: callers do not state their
+// prefixes, which costs one miss for each new prefix and host.
 func (s *Seen) Observe(prompt string) (Key, int) {
 	chain := Chain(prompt)
 	shared := 0
@@ -43,9 +43,9 @@
 	return chain[shared-1], shared * BlockTokens
 }
 
-// Whole returns the key of all whole blocks of the prompt, which the server
-// holds after it computed the prompt; a follow-up that repeats the prompt
-// and goes on shares exactly these blocks.
+// Whole returns the key at the end of a prompt's last full block, or 0 if it has
+// none. The server has these blocks cached after it computed the prompt; a
+// follow-up that extends the prompt shares exactly them.
 func Whole(prompt string) Key {
 	chain := Chain(prompt)
 	if len(chain) == 0 {
@@ -54,7 +54,8 @@
 	return chain[len(chain)-1]
 }
 
-// At returns the key of a prefix whose length in tokens the caller states.
+// At returns the key and the length in tokens, rounded down to full blocks, of a
+// prefix whose length the caller states.
 func At(prompt string, tokens int) (Key, int) {
 	chain := Chain(prompt)
 	blocks := min(tokens/BlockTokens, len(chain))
