--- a/internal/holder/answer.go
+++ b/internal/holder/answer.go
@@ -10,26 +10,26 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Answer is the answer to one request while it arrives and after. It only
-// grows; any number of readers follow it by offset.
-// mu guards all fields below it.
+// Answer is the answer to one request, both while it arrives and afterwards.
+// It is append-only until it is dropped; any number of readers follow it by
+// byte offset. mu guards all fields below it.
 type Answer struct {
 	mu          sync.Mutex
 	status      int
 	contentType string
 	data        []byte
 	parts       int
-	partSum     *xxhash.Digest // over the parts' payloads, as the server sums them
+	partsDigest *xxhash.Digest // xxh64 of the parts' payloads, as the server computes it
 	ended       bool
-	err         *failure.Error // the final word when it is not the whole answer
-	changed     chan struct{}  // closed and renewed at each change
+	err         *failure.Error // final error of an answer that is not complete
+	changed     chan struct{}  // closed and replaced at each change
 }
 
 func newAnswer() *Answer {
-	return &Answer{partSum: xxhash.New(), changed: make(chan struct{})}
+	return &Answer{partsDigest: xxhash.New(), changed: make(chan struct{})}
 }
 
-// wake tells the readers of a change. The caller holds mu.
+// wake notifies the readers of a change. The caller holds mu.
 func (a *Answer) wake() {
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -44,7 +44,8 @@
 	}
 }
 
-// addPart appends the part of an index; it refuses one that is not next.
+// addPart appends the part with the given index. It reports false for a part
+// that is not the next one, and after the end of the answer.
 func (a *Answer) addPart(index int, payload, framed []byte) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,14 +53,15 @@
 		return false
 	}
 	a.parts++
-	_, _ = a.partSum.Write(payload)
+	_, _ = a.partsDigest.Write(payload)
 	a.data = append(a.data, framed...)
 	a.wake()
 	return true
 }
 
-// addAt appends bytes at an offset, as a relay receives them. What is there
-// already must be the same; it reports false when it is not.
+// addAt appends bytes received from a relay at an offset. Bytes that overlap
+// existing ones must be identical. It reports false when they differ, when the
+// offset leaves a gap, and after the end of the answer.
 func (a *Answer) addAt(offset int, data []byte) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,7 +79,8 @@
 	return true
 }
 
-// finish ends the answer: whole when err is nil. Only the first call counts.
+// finish ends the answer; a nil err means that it is complete. Only the first
+// call has an effect.
 func (a *Answer) finish(err *failure.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +91,8 @@
 	a.wake()
 }
 
-// drop frees the bytes of an ended answer; who reads it later is told so.
+// drop frees the bytes of an ended answer. Later reads fail with
+// AnswerDropped.
 func (a *Answer) drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,28 +107,32 @@
 	return len(a.data)
 }
 
-func (a *Answer) next() (parts int, sum uint64) {
+// received returns the number of parts so far and their checksum.
+func (a *Answer) received() (parts int, sum uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.parts, a.partSum.Sum64()
+	return a.parts, a.partsDigest.Sum64()
 }
 
-// Head returns the status and content type, zero before the first byte.
+// Head returns the status and content type. Both are zero before the first
+// byte.
 func (a *Answer) Head() (int, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.status, a.contentType
 }
 
-// Whole returns length and checksum of an answer that ended whole.
+// Whole returns the length and xxh64 checksum of the bytes received so far.
+// They are those of the whole answer once it has ended without an error.
 func (a *Answer) Whole() (length int, sum uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.data), xxhash.Sum64(a.data)
 }
 
-// Read returns the bytes from offset on and waits until there are some or
-// the answer has ended. The error is the final word, or ctx's end.
+// Read returns the bytes from offset on. It waits until there are some or the
+// answer has ended. The error is the answer's final error, or Withdrawn when
+// ctx ends.
 func (a *Answer) Read(ctx context.Context, offset int) (data []byte, ended bool, err error) {
 	for {
 		a.mu.Lock()
--- a/internal/holder/dispatch.go
+++ b/internal/holder/dispatch.go
@@ -16,54 +16,56 @@
 )
 
 const (
-	resumePause = 100 * time.Millisecond
-	// resumeLimit is how long a cut stream is tried again before its request
-	// is given up as unknown; a server restart shows at once instead.
-	resumeLimit = 15 * time.Second
-	claimRetry  = 2 * time.Second // advice to callers while the store is down
+	resumeInterval = 100 * time.Millisecond
+	// resumeTimeout is how long a broken stream is retried without progress
+	// before its request ends as unknown. A restarted server ends the retries
+	// at once, since it does not know the request.
+	resumeTimeout   = 15 * time.Second
+	claimRetryAfter = 2 * time.Second // Retry-After for callers while the store is down
 )
 
-// granted takes a grant. Only a waiting request uses it; a request that has
-// ended meanwhile gives it back.
+// handleGrant handles a grant from the home. Only a waiting request uses it; a
+// request that has ended in the meantime returns it.
 //
-// Guard: a grant can cross a revocation or a withdrawal of its request on the
-// way here, and meet a newer attempt at the same id that waits by now. The
-// home has freed that grant and may have granted the id elsewhere since, so
-// using it would run the request twice. The attempt number tells.
-func (r *Record) granted(l *link, a core.Action) {
+// A grant can cross a revocation or a withdrawal of its request in transit and
+// arrive when a newer attempt at the same id is already waiting. The home has
+// freed that grant and may have granted the id elsewhere since, so using it
+// would run the request twice. The attempt number identifies such a grant.
+func (r *Record) handleGrant(l *link, a core.Action) {
 	if a.Attempt != r.attempt {
 		return
 	}
 	r.mu.Lock()
-	ok := r.fire(evGrant)
+	ok := r.fireLocked(evGrant)
 	if ok {
-		r.server, r.ruled = a.Server, true
+		r.server, r.everGranted = a.Server, true
 	}
 	ended := r.machine.Final()
 	r.mu.Unlock()
 	if !ok {
-		if ended && !ran(r.State()) {
+		if ended && !mayHaveRun(r.State()) {
 			l.send(withdrawFrame(r.Sub.ID))
 		}
 		return
 	}
 	r.record(event.RequestGranted, "")
-	r.h.background(func(ctx context.Context) { r.use(ctx, l, a.Server, a.ValidUntil) })
+	r.h.background(func(ctx context.Context) { r.useGrant(ctx, l, a.Server, a.ValidUntil) })
 }
 
-// use turns a grant into a dispatch.
-func (r *Record) use(ctx context.Context, l *link, server ident.ServerID, until core.Stamp) {
+// useGrant dispatches the request under a grant and follows the answer to its
+// end.
+func (r *Record) useGrant(ctx context.Context, l *link, server ident.ServerID, until core.Stamp) {
 	b, ok := r.h.backendOf(r.Sub.Service, server)
 	if !ok {
-		r.giveBack(l, true)
+		r.returnGrant(l, true)
 		return
 	}
-	if r.Sub.claimed() && !r.claim(ctx, server, until) {
+	if r.Sub.needsClaim() && !r.claim(ctx, server, until) {
 		return
 	}
-	if !r.begin(until) {
-		r.giveBack(l, false)
-		r.dropLateClaim()
+	if !r.beginDispatch(until) {
+		r.returnGrant(l, false)
+		r.releaseLateClaim()
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -71,22 +73,22 @@
 	r.setCancel(cancel)
 	r.record(event.RequestDispatched, "")
 	srv := r.h.src.Backends(b.Address, r.Sub.Plain)
-	l.meter.stream(server, 1)
-	// Guard: the holder may be paused while it connects, and go on after the grant has lapsed.
+	l.meter.addActive(server, 1)
+	// This process may be paused while it connects and continue after the grant has expired.
 	valid := func() bool { return r.h.stamp() <= until }
 	call := backend.Call{ID: r.Sub.ID, Path: r.Sub.Path, ContentType: r.Sub.ContentType, Body: r.Sub.Body, Allowed: valid}
 	usage, err := srv.Send(ctx, call, &sink{r: r, l: l, server: server})
 	if err != nil && backend.NotDispatched(err) {
-		l.meter.stream(server, -1)
-		r.step(evConnectFailed)
-		r.giveBackFrames(l, valid())
+		l.meter.addActive(server, -1)
+		r.fire(evConnectFailed)
+		r.sendReturned(l, valid())
 		return
 	}
 	r.freeBody()
 	if err != nil {
 		usage, err = r.resume(ctx, l, srv, err)
 	}
-	l.meter.stream(server, -1)
+	l.meter.addActive(server, -1)
 	r.complete(l, usage, err)
 }
 
@@ -96,80 +98,82 @@
 	r.mu.Unlock()
 }
 
-// begin is the one step that allows a dispatch.
+// beginDispatch is the only transition that allows a dispatch.
 //
-// Guard: the holder may have been paused since the grant came, while the home
-// judged by its silence, or a resend, an eviction or the deadline may have
-// taken the request. The grant's expiry is compared on our own clock, which
-// went on during a pause, and the chart refuses a request that has ended.
-// Both are checked under mu before the connection is opened, the expiry once more before
-// the first byte.
-func (r *Record) begin(until core.Stamp) bool {
+// Since the grant arrived, this process may have been paused, and the home may
+// have drawn conclusions from the missing heartbeats; or a resend, an eviction
+// or the deadline may have ended the request. The grant's expiry is compared with the holder's own clock,
+// which continues during a pause, and the state chart refuses a request that
+// has ended. Both are checked under mu before the connection is opened; the
+// expiry is checked again before the first byte.
+func (r *Record) beginDispatch(until core.Stamp) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.h.stamp() > until {
 		return false
 	}
-	if !r.fire(evDispatch) {
+	if !r.fireLocked(evDispatch) {
 		return false
 	}
-	r.dispatched = time.Now()
+	r.dispatchedAt = time.Now()
 	return true
 }
 
-// giveBack returns an unused grant.
-func (r *Record) giveBack(l *link, serverFailed bool) {
-	if !r.step(evExpire) {
-		return // ended meanwhile; whoever ended it told the home
+// returnGrant returns an unused grant to the home.
+func (r *Record) returnGrant(l *link, serverFailed bool) {
+	if !r.fire(evExpire) {
+		return // already ended; the code that ended it notified the home
 	}
 	r.record(event.GrantExpired, "")
-	r.giveBackFrames(l, serverFailed)
+	r.sendReturned(l, serverFailed)
 }
 
-// giveBackFrames frees the place at the home and asks for another grant. The
-// second frame only matters when the home changed in between.
-func (r *Record) giveBackFrames(l *link, serverFailed bool) {
+// sendReturned frees the placement at the home and registers the request for
+// another grant. The registration only matters when the home changed in
+// between.
+func (r *Record) sendReturned(l *link, serverFailed bool) {
 	l.send(&wire.Frame{Body: &wire.Frame_Returned{Returned: &wire.Returned{Id: r.Sub.ID[:], ServerFailed: serverFailed}}})
 	l.register(r)
 }
 
-// claim inserts the claim row. It reports whether the request may go on.
+// claim inserts the claim row. It reports whether the request may be
+// dispatched.
 func (r *Record) claim(ctx context.Context, server ident.ServerID, until core.Stamp) bool {
 	r.mu.Lock()
-	ok := r.fire(evClaim)
-	r.claimAsked = r.claimAsked || ok
+	ok := r.fireLocked(evClaim)
+	r.claimRequested = r.claimRequested || ok
 	r.mu.Unlock()
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(until-r.h.stamp()))
 	defer cancel()
-	mine := claim.Owner{Incarnation: r.h.self, Token: r.token, Server: server, Expires: time.Now().Add(r.h.claimHorizon())}
+	mine := claim.Owner{Incarnation: r.h.self, Token: r.claimToken, Server: server, Expires: time.Now().Add(r.h.claimHorizon())}
 	res := r.h.src.Claims.Claim(ctx, r.Sub.ID, mine, 0)
 	if res.Err == nil && !res.Won && r.h.unused.has(res.Owner.Token) {
-		// The row is of an earlier attempt at this host that never ran and
-		// whose release is still on its way.
+		// The row belongs to an earlier attempt at this host that never ran
+		// and whose release is still pending.
 		res = r.h.src.Claims.Claim(ctx, r.Sub.ID, mine, res.Version)
 	}
 	switch {
 	case res.Err != nil:
-		// The row may be there or not. Nothing was dispatched, which is
-		// certain, so the caller is told not run, at once.
-		r.withdraw(&failure.Error{Code: failure.StoreDown, Message: "the table service did not confirm the claim", RetryAfter: claimRetry})
+		// The row may or may not exist. Nothing was dispatched, so the
+		// caller is informed at once that the request was not run.
+		r.withdraw(&failure.Error{Code: failure.StoreDown, Message: "the table service did not confirm the claim", RetryAfter: claimRetryAfter})
 		return false
 	case res.Won:
 		return true
 	}
-	r.taken(res)
+	r.attachToClaimOwner(res)
 	return false
 }
 
-// dropLateClaim releases a claim that was won after its request had ended:
-// the release at the end may have found nothing to delete yet.
-func (r *Record) dropLateClaim() {
+// releaseLateClaim releases a claim that was won after its request had ended.
+// The release at the end of the request may have run before the row existed.
+func (r *Record) releaseLateClaim() {
 	r.mu.Lock()
-	late := r.machine.Final() && !ran(r.machine.State()) && r.Sub.claimed()
-	r.claimAsked = r.claimAsked || late
+	late := r.machine.Final() && !mayHaveRun(r.machine.State()) && r.Sub.needsClaim()
+	r.claimRequested = r.claimRequested || late
 	r.mu.Unlock()
 	if late {
 		r.releaseClaim()
@@ -183,75 +187,78 @@
 	return 0
 }
 
-// taken follows the owner of a claim row that another attempt inserted.
-func (r *Record) taken(res claim.Result) {
+// attachToClaimOwner follows the answer of the host whose attempt inserted the
+// claim row first.
+func (r *Record) attachToClaimOwner(res claim.Result) {
 	r.record(event.ClaimRefused, res.Owner.Incarnation.String())
 	r.mu.Lock()
-	r.claimAsked = false // the row is not ours to release
+	r.claimRequested = false // the row belongs to another attempt
 	r.mu.Unlock()
 	r.h.link(r.Sub.Service).send(withdrawFrame(r.Sub.ID))
 	r.attachTo(res.Owner.Incarnation, res.Owner.Server)
 }
 
-// resume continues a stream that broke off, on new connections, until it is
-// whole or the server does not know it. Nothing is dispatched again.
+// resume continues a broken stream on new connections until it is complete or
+// the server does not know the request. It never dispatches again.
 func (r *Record) resume(ctx context.Context, l *link, srv backend.Server, cause error) (backend.Usage, error) {
-	if !r.step(evCut) || r.Sub.Plain {
+	if !r.fire(evCut) || r.Sub.Plain {
 		return backend.Usage{}, cause
 	}
 	r.record(event.RequestCut, cause.Error())
 	var usage backend.Usage
 	err := cause
-	for until := time.Now().Add(resumeLimit); time.Now().Before(until) && ctx.Err() == nil; {
-		from, _ := r.answer.next()
+	for until := time.Now().Add(resumeTimeout); time.Now().Before(until) && ctx.Err() == nil; {
+		from, _ := r.answer.received()
 		usage, err = srv.Resume(ctx, r.Sub.ID, from, &sink{r: r, l: l, server: r.serverID(), resumed: true})
 		if err == nil || failure.Is(err, failure.UnknownRequest) {
 			return usage, err
 		}
-		if now, _ := r.answer.next(); now > from {
-			until = time.Now().Add(resumeLimit)
+		if now, _ := r.answer.received(); now > from {
+			until = time.Now().Add(resumeTimeout)
 		}
-		wait(ctx, resumePause)
+		wait(ctx, resumeInterval)
 	}
 	return usage, err
 }
 
-// complete ends a dispatched request by its outcome and tells the home.
+// complete ends a dispatched request according to its outcome and notifies the
+// home.
 func (r *Record) complete(l *link, usage backend.Usage, err error) {
-	parts, sum := r.answer.next()
+	parts, sum := r.answer.received()
 	if err == nil && usage.Checksum != "" && usage.Checksum != strconv.FormatUint(sum, 16) {
 		err = failure.New(failure.ServerLost, "checksum of %d parts differs", parts)
 	}
 	if err == nil {
-		r.answered()
+		r.completeAnswered()
 	} else {
-		r.giveUp(&failure.Error{Code: unknownCode(err), Message: err.Error()})
+		r.endUnknown(&failure.Error{Code: unknownCode(err), Message: err.Error()})
 	}
 	r.mu.Lock()
 	fin := core.Finished{ID: r.Sub.ID, PromptTokens: usage.PromptTokens, OutputTokens: usage.OutputTokens, Failed: err != nil}
-	fin.Total = time.Since(r.dispatched)
-	if !r.first.IsZero() {
-		fin.FirstToken = r.first.Sub(r.dispatched)
+	fin.Total = time.Since(r.dispatchedAt)
+	if !r.firstPartAt.IsZero() {
+		fin.FirstToken = r.firstPartAt.Sub(r.dispatchedAt)
 	}
 	r.mu.Unlock()
 	l.send(cellwire.FinishedFrame(fin))
 }
 
-func (r *Record) answered() {
-	if !r.step(evFinish) {
+// completeAnswered ends a request whose answer is complete.
+func (r *Record) completeAnswered() {
+	if !r.fire(evFinish) {
 		return
 	}
 	r.answer.finish(nil)
 	size := r.answer.size()
 	r.mu.Lock()
-	r.kept = size
+	r.answerBytes = size
 	r.mu.Unlock()
 	r.h.addBytes(size)
 	r.record(event.RequestAnswered, strconv.Itoa(size)+" bytes")
 }
 
-// unknownCode keeps to codes that claim nothing: after a dispatch a failure
-// never says not run.
+// unknownCode returns a code whose outcome is unknown: after a dispatch, a
+// failure must never be reported as not run.
 func unknownCode(err error) failure.Code {
 	e := failure.From(err)
 	if e.Outcome() == failure.Unknown && e.Code != failure.UnknownRequest {
@@ -260,9 +267,9 @@
 	return failure.ServerLost
 }
 
-// abandon cancels work whose answer nobody reads.
+// abandon cancels a dispatched request whose answer nobody reads.
 func (r *Record) abandon(cancel context.CancelFunc) {
-	r.giveUp(&failure.Error{Code: failure.Withdrawn, Message: "nobody reads the answer; it was cancelled"})
+	r.endUnknown(&failure.Error{Code: failure.Withdrawn, Message: "nobody reads the answer; it was cancelled"})
 	cancel()
 	b, ok := r.h.backendOf(r.Sub.Service, r.serverID())
 	if !ok {
@@ -271,11 +278,11 @@
 	r.h.background(func(ctx context.Context) {
 		ctx, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
-		_ = r.h.src.Backends(b.Address, r.Sub.Plain).Cancel(ctx, r.Sub.ID) // best effort: saves tokens only
+		_ = r.h.src.Backends(b.Address, r.Sub.Plain).Cancel(ctx, r.Sub.ID) // best effort: it only saves the server work
 	})
 }
 
-// sink feeds the answer of a backend server into the record.
+// sink adds the answer of a backend server to the record.
 type sink struct {
 	r       *Record
 	l       *link
@@ -286,7 +293,7 @@
 // Begin implements backend.Sink.
 func (s *sink) Begin(status int, contentType string) {
 	s.r.answer.begin(status, contentType)
-	if s.resumed && s.r.step(evResume) {
+	if s.resumed && s.r.fire(evResume) {
 		s.r.record(event.RequestResumed, "")
 	}
 }
@@ -301,22 +308,22 @@
 		s.r.record(event.FrameCrossed, strconv.Itoa(p.Index))
 		return false
 	}
-	s.l.meter.token(s.server)
+	s.l.meter.countToken(s.server)
 	if p.Index == 0 {
-		s.r.firstPart()
+		s.r.recordFirstPart()
 	}
 	return true
 }
 
-func (r *Record) firstPart() {
+func (r *Record) recordFirstPart() {
 	r.mu.Lock()
-	r.first = time.Now()
-	r.fire(evFirstByte)
+	r.firstPartAt = time.Now()
+	r.fireLocked(evFirstByte)
 	r.mu.Unlock()
 	r.record(event.RequestFirstByte, "")
 }
 
-// frameEvent writes a part the way callers receive it.
+// frameEvent encodes a part as a server-sent event for the caller.
 func frameEvent(data []byte) []byte {
 	out := make([]byte, 0, len(data)+len("data: \n\n"))
 	out = append(out, "data: "...)
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -1,13 +1,16 @@
-// Package holder keeps the requests that callers gave to this host, from
-// their first byte to their one final answer: it registers them with the
-// home of their service, dispatches each at most once and only under a
-// grant, and keeps finished answers for the horizon.
+// Package holder manages the requests for which this host is the holder: the
+// entry host that received a request and owes the caller its answer. It
+// registers each request with the home of its service (the host that runs the
+// service's scheduler), dispatches it at most once and only under a grant, and
+// keeps finished requests and their answers for the horizon, a configured
+// retention time.
 //
-// Failure cases: the home dies (waiting requests register with the next
-// one), a backend server's connection breaks or goes silent (the stream is
-// resumed by id and index, never dispatched again), the request was given to
-// another host before (its answer is relayed from there, or resumed at the
-// backend server when that host is dead).
+// Failures that it handles:
+//   - The home dies: waiting requests register with the next one.
+//   - The connection to a backend server breaks or stalls: the stream is
+//     resumed by request id and part index, never dispatched again.
+//   - The request was sent to another host before: its answer is relayed from
+//     there, or resumed at the backend server when that host is dead.
 package holder
 
 import (
@@ -29,7 +32,7 @@
 	"github.com/gentianflow/gentianflow/internal/peer"
 )
 
-// Sources are what a Holder reads from other duties.
+// Sources are the components that a Holder depends on.
 type Sources struct {
 	Members  *member.Table
 	Config   *configsync.Syncer
@@ -39,14 +42,15 @@
 	Events   *event.Recorder
 }
 
-// Grace periods after the last reader of a request left.
+// Periods of the sweep. A grace period starts when the last reader of a
+// request leaves.
 const (
-	waitingGrace = 2 * time.Second  // then a waiting request is withdrawn
-	runningGrace = 10 * time.Second // then a model engine's work is cancelled
+	waitingGrace = 2 * time.Second  // before a waiting request is withdrawn
+	runningGrace = 10 * time.Second // before a request at a model engine is cancelled
 	sweepPeriod  = 500 * time.Millisecond
 )
 
-// Holder owns the records of one host. mu guards records, links and bytes.
+// Holder owns the records of one host. mu guards records, links and heldBytes.
 type Holder struct {
 	src   Sources
 	self  ident.Incarnation
@@ -54,16 +58,16 @@
 	ctx   context.Context
 	tasks sync.WaitGroup
 
-	attempts atomic.Uint32 // records made so far
+	attempts atomic.Uint32 // records created so far
 	unused   unusedClaims
 
-	mu      sync.Mutex
-	records map[ident.RequestID]*Record
-	links   map[string]*link
-	bytes   int
+	mu        sync.Mutex
+	records   map[ident.RequestID]*Record
+	links     map[string]*link
+	heldBytes int
 }
 
-// New makes a holder whose tasks end with ctx.
+// New returns a holder whose background tasks end with ctx.
 func New(ctx context.Context, self ident.Incarnation, src Sources) *Holder {
 	return &Holder{
 		src: src, self: self, start: time.Now(), ctx: ctx,
@@ -71,11 +75,11 @@
 	}
 }
 
-// SetPeers gives the sessions, which are made after the holder that serves
-// their streams.
+// SetPeers sets the manager of the sessions with other hosts. It is created
+// after the holder, because the holder serves streams of those sessions.
 func (h *Holder) SetPeers(p *peer.Manager) { h.src.Peers = p }
 
-// Run sweeps the records until ctx ends.
+// Run sweeps the records periodically until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepPeriod)
 	defer tick.Stop()
@@ -90,7 +94,8 @@
 	}
 }
 
-// stamp is this holder's clock as the homes know it.
+// stamp reads this holder's clock, on which the homes base the expiry of
+// grants.
 func (h *Holder) stamp() core.Stamp { return core.Stamp(time.Since(h.start)) }
 
 func (h *Holder) background(f func(context.Context)) {
@@ -99,11 +104,11 @@
 
 func (h *Holder) addBytes(n int) {
 	h.mu.Lock()
-	h.bytes += n
+	h.heldBytes += n
 	h.mu.Unlock()
 }
 
-// Get returns the record of an id.
+// Get returns the record of a request id.
 func (h *Holder) Get(id ident.RequestID) (*Record, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,11 +116,12 @@
 	return r, ok
 }
 
-// Submit takes a request. An id that is held already is attached to; it
-// fails with Forbidden when it belongs to another client account, and with
-// HostFull when there is no room and nothing of a lower tier to give way.
+// Submit accepts a request and registers it with the home of its service. For
+// an id that is already held it returns the existing record. It fails with
+// Forbidden when that record belongs to another client account, and with
+// HostFull when memory is full and nothing of a lower tier can be evicted.
 func (h *Holder) Submit(sub Submission, limits config.Limits) (*Record, error) {
-	if r, ok := h.Get(sub.ID); ok && !h.replaces(r, &sub) {
+	if r, ok := h.Get(sub.ID); ok && !h.mayReplace(r, &sub) {
 		return h.attach(r, sub)
 	}
 	if err := h.makeRoom(&sub, limits.HeldBytes); err != nil {
@@ -123,25 +129,25 @@
 	}
 	r := newRecord(h, sub)
 	h.mu.Lock()
-	if other, ok := h.records[sub.ID]; ok && !h.replaces(other, &sub) {
+	if other, ok := h.records[sub.ID]; ok && !h.mayReplace(other, &sub) {
 		h.mu.Unlock()
 		r.deadline.Stop()
 		return h.attach(other, sub)
 	}
 	h.records[sub.ID] = r
-	h.bytes += len(sub.Body)
+	h.heldBytes += len(sub.Body)
 	h.mu.Unlock()
 	r.record(event.RequestAccepted, sub.Kind)
-	r.step(evRegister)
+	r.fire(evRegister)
 	h.link(sub.Service).register(r)
 	r.record(event.RequestWaiting, "")
 	return r, nil
 }
 
-// replaces reports whether a new attempt may take the place of a record:
-// nothing ran under the old one and its caller was told so, or it only
-// followed another holder.
-func (h *Holder) replaces(old *Record, sub *Submission) bool {
+// mayReplace reports whether a new attempt may replace a record: nothing ran
+// under the old one and its caller was informed of that, or the request moved
+// to another host and is resent here.
+func (h *Holder) mayReplace(old *Record, sub *Submission) bool {
 	if !old.belongsTo(sub.Account) || sub.LocateOnly {
 		return false
 	}
@@ -157,14 +163,16 @@
 	return r, nil
 }
 
-// belongsTo reports whether an account may see the record. A mark that only
-// says that an id moved away belongs to nobody and says nothing secret.
+// belongsTo reports whether an account may see the record. A record that only
+// marks an id as moved to another host has no account and holds no private
+// data.
 func (r *Record) belongsTo(account string) bool {
 	return r.Sub.Account == "" || r.Sub.Account == account
 }
 
-// makeRoom frees memory for a body: answers nobody reads go first, oldest first,
-// then waiting requests of lower tiers, the lowest and newest first.
+// makeRoom frees memory for a body. It first drops answers that nobody reads,
+// oldest first, and then withdraws waiting requests of lower tiers, those of
+// the lowest tier and with the latest deadline first.
 func (h *Holder) makeRoom(sub *Submission, limit int) error {
 	need := len(sub.Body)
 	if h.held()+need <= limit {
@@ -188,10 +196,10 @@
 func (h *Holder) held() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.bytes
+	return h.heldBytes
 }
 
-func (h *Holder) list() []*Record {
+func (h *Holder) allRecords() []*Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]*Record, 0, len(h.records))
@@ -203,18 +211,18 @@
 
 func (h *Holder) finishedOldestFirst() []*Record {
 	var out []*Record
-	for _, r := range h.list() {
-		if !r.ended().IsZero() {
+	for _, r := range h.allRecords() {
+		if !r.endTime().IsZero() {
 			out = append(out, r)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].ended().Before(out[j].ended()) })
+	sort.Slice(out, func(i, j int) bool { return out[i].endTime().Before(out[j].endTime()) })
 	return out
 }
 
 func (h *Holder) waitingBelow(tier int) []*Record {
 	var out []*Record
-	for _, r := range h.list() {
+	for _, r := range h.allRecords() {
 		if r.Sub.Tier > tier && r.State() == stateWaiting {
 			out = append(out, r)
 		}
@@ -228,24 +236,24 @@
 	return out
 }
 
-func (r *Record) ended() time.Time {
+func (r *Record) endTime() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endedAt
 }
 
-// dropAnswer frees the bytes of an answer that nobody reads now.
+// dropAnswer frees the bytes of an answer that has no readers.
 //
-// Guard: the record itself stays for the horizon. It is this host's only word
-// that the id ran; without it a resend would be taken as new here, and a new
-// home would not hear of it.
+// The record itself stays for the horizon. It is this host's only evidence
+// that the id ran; without it a resend would be accepted as new here, and this
+// host's report to a new home would not list the id.
 func (h *Holder) dropAnswer(r *Record) {
 	r.mu.Lock()
-	size := r.kept
+	size := r.answerBytes
 	if r.readers > 0 {
 		size = 0
 	}
-	r.kept -= size
+	r.answerBytes -= size
 	r.mu.Unlock()
 	if size > 0 {
 		r.answer.drop()
@@ -253,21 +261,21 @@
 	}
 }
 
-// forget removes a record past the horizon.
-func (h *Holder) forget(r *Record) {
+// remove deletes a record whose horizon has passed.
+func (h *Holder) remove(r *Record) {
 	r.mu.Lock()
-	size := r.kept
-	r.kept = 0
+	size := r.answerBytes
+	r.answerBytes = 0
 	r.mu.Unlock()
 	h.mu.Lock()
 	if h.records[r.Sub.ID] == r {
 		delete(h.records, r.Sub.ID)
 	}
-	h.bytes -= size
+	h.heldBytes -= size
 	h.mu.Unlock()
 }
 
-// sweep forgets records past the horizon and ends those nobody reads.
+// sweep removes records past the horizon and ends requests without readers.
 func (h *Holder) sweep(now time.Time) {
 	inForce := h.src.Config.Current()
 	if inForce == nil {
@@ -275,7 +283,7 @@
 	}
 	horizon := inForce.Document.Rules.Limits.Horizon.Std()
 	h.unused.expire(now.Add(-horizon))
-	for _, r := range h.list() {
+	for _, r := range h.allRecords() {
 		r.mu.Lock()
 		ended, idle := r.endedAt, r.readers == 0
 		state, since := r.machine.State(), now.Sub(r.idleSince)
@@ -284,7 +292,7 @@
 		switch {
 		case !ended.IsZero():
 			if now.Sub(ended) > horizon {
-				h.forget(r)
+				h.remove(r)
 			}
 		case idle && state == stateWaiting && since > waitingGrace:
 			r.withdraw(&failure.Error{Code: failure.Withdrawn, Message: "nobody waits for it"})
@@ -294,7 +302,7 @@
 	}
 }
 
-// link returns the link to the home of a service, started on first use.
+// link returns the link to the home of a service and starts it on first use.
 func (h *Holder) link(service string) *link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -307,10 +315,10 @@
 	return l
 }
 
-// recordsOf lists the records of a service.
+// recordsOf returns the records of a service.
 func (h *Holder) recordsOf(service string) []*Record {
 	var out []*Record
-	for _, r := range h.list() {
+	for _, r := range h.allRecords() {
 		if r.Sub.Service == service {
 			out = append(out, r)
 		}
@@ -318,28 +326,28 @@
 	return out
 }
 
-// InProgress counts the requests without a final answer.
+// InProgress returns the number of requests without a final answer.
 func (h *Holder) InProgress() int {
 	n := 0
-	for _, r := range h.list() {
-		if r.ended().IsZero() {
+	for _, r := range h.allRecords() {
+		if r.endTime().IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// Stats is what a host holds, for status and metrics.
+// Stats are the holder's figures for status and metrics.
 type Stats struct {
 	Records    int `json:"records"`
 	InProgress int `json:"in_progress"`
 	HeldBytes  int `json:"held_bytes"`
 }
 
-// Stats returns what this host holds.
+// Stats returns the current figures.
 func (h *Holder) Stats() Stats {
 	h.mu.Lock()
-	s := Stats{Records: len(h.records), HeldBytes: h.bytes}
+	s := Stats{Records: len(h.records), HeldBytes: h.heldBytes}
 	h.mu.Unlock()
 	s.InProgress = h.InProgress()
 	return s
@@ -370,10 +378,10 @@
 	return ""
 }
 
-// Readers counts the callers and hosts that follow an answer here.
+// Readers returns the number of callers and hosts that follow answers here.
 func (h *Holder) Readers() int {
 	n := 0
-	for _, r := range h.list() {
+	for _, r := range h.allRecords() {
 		r.mu.Lock()
 		n += r.readers
 		r.mu.Unlock()
--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("an answer", func() {
 	ctx := context.Background()
 
-	It("takes parts in order only, and nothing after its end", func() {
+	It("accepts parts only in order, and none after its end", func() {
 		a := newAnswer()
 		Expect(a.addPart(0, []byte("a"), []byte("a"))).To(BeTrue())
 		Expect(a.addPart(2, []byte("c"), []byte("c"))).To(BeFalse())
@@ -35,9 +35,9 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Story: a relay breaks off and starts again a little earlier; what comes
-	// twice must be the same, or the caller would read two answers in one.
-	It("joins bytes at an offset and refuses others than it has", func() {
+	// A relay that breaks may restart at an earlier offset. Overlapping bytes
+	// must be identical, or the caller would receive a mix of two answers.
+	It("appends bytes at an offset and refuses bytes that differ from those it has", func() {
 		a := newAnswer()
 		Expect(a.addAt(0, []byte("hello "))).To(BeTrue())
 		Expect(a.addAt(3, []byte("lo world"))).To(BeTrue())
@@ -47,7 +47,7 @@
 		Expect(string(data)).To(Equal("hello world"))
 	})
 
-	It("gives its first final word only, and wakes its readers", func() {
+	It("keeps only its first final result, and wakes its readers", func() {
 		a := newAnswer()
 		got := make(chan error)
 		go func() {
@@ -60,69 +60,69 @@
 	})
 })
 
-var _ = Describe("the books of a holder", func() {
+var _ = Describe("the memory accounting of a holder", func() {
 	sub := func(tier, size int) Submission {
 		return Submission{Service: "s", Tier: tier, Body: []byte(strings.Repeat("x", size)), Deadline: time.Now().Add(time.Hour)}
 	}
-	// held puts a record into the books as Submit does.
+	// held adds a record and counts its bytes as Submit does.
 	held := func(h *Holder, s Submission, id byte) *Record {
 		s.ID[0] = id
 		r := newRecord(h, s)
 		DeferCleanup(r.deadline.Stop)
 		r.machine = requestChart.Start()
 		h.records[s.ID] = r
-		h.bytes += len(s.Body)
+		h.heldBytes += len(s.Body)
 		return r
 	}
 
-	It("count an answer while it is kept, and nothing after it is forgotten", func() {
+	It("counts an answer while it is kept, and nothing after it is removed", func() {
 		h := New(context.Background(), 1, Sources{})
 		r := held(h, sub(2, 0), 1)
 		r.answer.addPart(0, []byte("abc"), []byte("abc"))
 		h.addBytes(3)
-		r.kept = 3
-		h.forget(r)
-		h.forget(r)
+		r.answerBytes = 3
+		h.remove(r)
+		h.remove(r)
 		Expect(h.Stats().HeldBytes).To(BeZero())
 	})
 
-	// Story: an answer broke off and was never counted as kept; forgetting it
-	// made the books too low, and the host held more than its limit.
-	It("do not give back what was never counted", func() {
+	// An answer that broke off is never counted in heldBytes. If its removal
+	// subtracted its size, the count would be too low and the host would hold
+	// more than its limit.
+	It("does not subtract what was never counted", func() {
 		h := New(context.Background(), 1, Sources{})
 		r := held(h, sub(2, 0), 1)
 		r.answer.addPart(0, []byte("half"), []byte("half"))
-		h.forget(r)
+		h.remove(r)
 		Expect(h.Stats().HeldBytes).To(BeZero())
 	})
 
-	// Story: a host is full and drops finished answers to make room. A caller
-	// that lost its connection sends the id again; the host does not know it
-	// any more, says so to a new home, and the pickup runs a second time.
-	// Cause: the record was the only word on that id.
-	It("drop an answer for room, but not the word that it ran", func() {
+	// A full host drops finished answers to free memory. If it dropped the record
+	// too, its report to a new home would not list the id, and a caller that lost
+	// its connection and resends the id would have it run a second time.
+	It("drops an answer to free memory, but keeps the record that it ran", func() {
 		h := New(context.Background(), 1, Sources{})
 		r := held(h, sub(2, 0), 1)
 		for _, e := range []chart.Event{evRegister, evGrant, evDispatch, evFirstByte, evFinish} {
-			Expect(r.step(e)).To(BeTrue())
+			Expect(r.fire(e)).To(BeTrue())
 		}
 		r.answer.addPart(0, []byte("whole"), []byte("whole"))
 		r.answer.finish(nil)
-		r.kept = 5
+		r.answerBytes = 5
 		h.addBytes(5)
 		s := sub(2, 100)
 		Expect(h.makeRoom(&s, 100)).To(Succeed())
 		Expect(h.Stats().HeldBytes).To(BeZero())
 		again, known := h.Get(r.Sub.ID)
 		Expect(known).To(BeTrue())
-		line, ok := again.ledgerLine()
+		line, ok := again.ledgerEntry()
 		Expect(ok).To(BeTrue())
 		Expect(line.State).To(Equal(core.LedgerDone))
 		_, _, err := again.Answer().Read(context.Background(), 0)
 		Expect(failure.From(err).Outcome()).To(Equal(failure.Unknown))
 	})
 
-	It("refuse a request when nothing of a lower tier can give way", func() {
+	It("refuses a request when nothing of a lower tier can be evicted", func() {
 		h := New(context.Background(), 1, Sources{})
 		held(h, sub(2, 80), 1)
 		s := sub(3, 50)
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -17,39 +17,41 @@
 )
 
 const (
-	linkSize       = 16384
-	reportPart     = 2048 // ledger lines in one message
-	heartbeat      = 250 * time.Millisecond
-	echoDeadline   = 1500 * time.Millisecond
-	reconnectPause = 50 * time.Millisecond
-	leaveWait      = 500 * time.Millisecond
-	progressPeriod = 1 * time.Second
+	outQueueSize     = 16384
+	reportChunkLines = 2048 // ledger lines per message
+	heartbeatPeriod  = 250 * time.Millisecond
+	echoTimeout      = 1500 * time.Millisecond
+	reconnectDelay   = 50 * time.Millisecond
+	leaveTimeout     = 500 * time.Millisecond
+	progressPeriod   = 1 * time.Second
 )
 
-// link is the duty that follows the home of one service. Its goroutine owns
-// the fields without a lock; others push frames into out.
+// link connects this holder to the home of one service and follows it when the
+// home moves to another host. Its goroutine owns the fields without a lock;
+// other goroutines push frames into out.
 type link struct {
-	h       *Holder
-	service string
-	out     *ring.Ring[*wire.Frame]
-	moved   <-chan struct{} // membership or configuration changed
-	configs <-chan struct{}
+	h              *Holder
+	service        string
+	out            *ring.Ring[*wire.Frame]
+	membersChanged <-chan struct{}
+	configChanged  <-chan struct{}
 
-	home      member.Member // followed now or last
-	clean     bool          // the last home took our goodbye
-	lastStamp time.Time     // when the last home may last have heard of us
-	meter     meter
+	home        member.Member // current or last home
+	leftCleanly bool          // the last home acknowledged that this host left
+	lastStamp   time.Time     // start of the last write to the last home
+	meter       meter
 }
 
 func newLink(h *Holder, service string) *link {
 	return &link{
-		h: h, service: service, out: ring.New[*wire.Frame](linkSize),
-		moved: h.src.Members.Subscribe(), configs: h.src.Config.Subscribe(), clean: true,
+		h: h, service: service, out: ring.New[*wire.Frame](outQueueSize),
+		membersChanged: h.src.Members.Subscribe(), configChanged: h.src.Config.Subscribe(), leftCleanly: true,
 	}
 }
 
-// send queues a frame. While no home is reached the ring may fill; then the
-// frame is dropped, and the report of the next session says what it said.
+// send queues a frame. When the ring is full, because no home is connected,
+// the frame is dropped; the report of the next session contains its
+// information.
 func (l *link) send(f *wire.Frame) { l.out.TryPush(f) }
 
 func (l *link) register(r *Record) {
@@ -69,11 +71,11 @@
 	for ctx.Err() == nil {
 		target, ok := l.currentHome()
 		if !ok || !l.mayFollow(ctx, target) {
-			wait(ctx, reconnectPause)
+			wait(ctx, reconnectDelay)
 			continue
 		}
 		l.follow(ctx, target)
-		wait(ctx, reconnectPause)
+		wait(ctx, reconnectDelay)
 	}
 }
 
@@ -96,46 +98,49 @@
 	return member.Home(l.service, l.h.src.Members.All(), inForce.Document.Rules.Lookup.HostsPerService)
 }
 
-// refuseAll ends the waiting requests of a service that the configuration no
-// longer has.
+// refuseAll ends the waiting requests of a service that was removed from the
+// configuration.
 func (l *link) refuseAll() {
 	for _, r := range l.h.recordsOf(l.service) {
 		r.withdraw(&failure.Error{Code: failure.Removed, Message: "service " + l.service + " was removed"})
 	}
 }
 
-// mayFollow holds a move to another home back after an unclean end.
+// mayFollow reports whether the link may connect to target. It delays the move
+// to another home when the last session ended without an acknowledged leave.
 //
-// Guard: the old home may be alive behind a parted network and judge by our
-// silence what we can have run. It trusts its ledger for core.MoveHold after
-// our last stamp; until then no other home may grant to us. A home that is
-// proved dead judges nothing any more.
+// The old home may still be alive behind a network partition and infer from the
+// missing heartbeats what this host can have run. It relies on its ledger (the
+// list of requests and their states) for core.MoveHold after this host's last
+// stamp; until then no other home may grant to this host. A home that is proved
+// dead no longer makes decisions, so there is nothing to wait for.
 func (l *link) mayFollow(ctx context.Context, target member.Member) bool {
-	if l.clean || target.Incarnation == l.home.Incarnation {
+	if l.leftCleanly || target.Incarnation == l.home.Incarnation {
 		return true
 	}
 	if old, ok := l.h.src.Members.Get(l.home.Incarnation); ok && old.Proved {
 		return true
 	}
 	if left := time.Until(l.lastStamp.Add(core.MoveHold)); left > 0 {
-		wait(ctx, min(left, reconnectPause))
+		wait(ctx, min(left, reconnectDelay))
 		return false
 	}
 	return true
 }
 
-// session is one stream to a home. mu guards echoed and left.
+// session is one stream to a home. mu guards lastEcho and left.
 type session struct {
-	st   *peer.Stream
-	gone chan struct{} // closed when the reader ends
+	st         *peer.Stream
+	readerDone chan struct{} // closed when readFrames returns
 
-	mu     sync.Mutex
-	echoed time.Time
-	left   bool
-	noted  chan struct{} // closed when the home took our goodbye
+	mu         sync.Mutex
+	lastEcho   time.Time
+	left       bool
+	leaveNoted chan struct{} // closed when the home acknowledged the leave
 }
 
-// follow opens a session and keeps it until it breaks or the home moves.
+// follow opens a session to a home and runs it until it breaks or the home
+// moves.
 func (l *link) follow(ctx context.Context, target member.Member) {
 	st, err := l.h.src.Peers.OpenStream(ctx, peer.Target{Address: target.ControlAddress, Incarnation: target.Incarnation}, wire.StreamKind_STREAM_CELL, l.service)
 	if err != nil {
@@ -144,28 +149,29 @@
 	if l.home.Incarnation != 0 && l.home.Incarnation != target.Incarnation {
 		l.h.src.Events.Record(event.HomeMoved, event.Fields{Service: l.service, Peer: target.Host})
 	}
-	l.home, l.clean = target, false
-	s := &session{st: st, gone: make(chan struct{}), noted: make(chan struct{}), echoed: time.Now()}
+	l.home, l.leftCleanly = target, false
+	s := &session{st: st, readerDone: make(chan struct{}), leaveNoted: make(chan struct{}), lastEcho: time.Now()}
 	defer func() {
 		st.Abort()
-		<-s.gone
+		<-s.readerDone
 	}()
-	l.h.tasks.Go(func() { l.read(s) })
+	l.h.tasks.Go(func() { l.readFrames(s) })
 	if l.sendReport(s) != nil {
 		return
 	}
-	l.keep(ctx, s)
+	l.runSession(ctx, s)
 }
 
-// sendReport opens the session with our part of the ledger, then registers
-// what waits. Frames queued before are dropped first: the report is newer.
+// sendReport sends this host's ledger lines as the first frames of the session
+// and then registers the waiting requests. Frames queued earlier are dropped,
+// because the report is newer.
 func (l *link) sendReport(s *session) error {
 	l.out.Drain(nil)
 	records := l.h.recordsOf(l.service)
 	var lines []*wire.LedgerLine
 	var waiting []*Record
 	for _, r := range records {
-		e, ok := r.ledgerLine()
+		e, ok := r.ledgerEntry()
 		if ok {
 			lines = append(lines, cellwire.Line(e))
 		}
@@ -174,7 +180,7 @@
 		}
 	}
 	for {
-		n := min(reportPart, len(lines))
+		n := min(reportChunkLines, len(lines))
 		part := &wire.Report{Stamp: int64(l.h.stamp()), Lines: lines[:n], Last: n == len(lines)}
 		if err := l.write(s, []*wire.Frame{{Body: &wire.Frame_Report{Report: part}}}); err != nil {
 			return err
@@ -195,10 +201,10 @@
 	return wire.Write(s.st, &wire.Batch{Lamport: l.h.src.Events.Clock(), Frames: frames})
 }
 
-// keep sends what is queued and heartbeats, and ends when the home moved,
-// stopped echoing, or the stream broke.
-func (l *link) keep(ctx context.Context, s *session) {
-	beat := time.NewTicker(heartbeat)
+// runSession sends queued frames and heartbeats. It returns when the home
+// moves, the home stops echoing heartbeats, or the stream breaks.
+func (l *link) runSession(ctx context.Context, s *session) {
+	beat := time.NewTicker(heartbeatPeriod)
 	defer beat.Stop()
 	var frames []*wire.Frame
 	lastProgress := time.Now()
@@ -216,9 +222,9 @@
 				lastProgress = time.Now()
 				frames = l.meter.frames(frames)
 			}
-		case <-l.moved:
-		case <-l.configs:
-		case <-s.gone:
+		case <-l.membersChanged:
+		case <-l.configChanged:
+		case <-s.readerDone:
 			return
 		case <-ctx.Done():
 			return
@@ -234,15 +240,17 @@
 	}
 }
 
-// silent reports whether the home stopped echoing our heartbeats. A stream
-// that something in between forgot takes writes and carries nothing.
+// silent reports whether the home stopped echoing heartbeats. Writes succeed
+// even on a connection whose state a middlebox has lost and that delivers
+// nothing.
 func (s *session) silent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.echoed) > echoDeadline
+	return time.Since(s.lastEcho) > echoTimeout
 }
 
-// leave says goodbye to the old home. From here on its grants are not used.
+// leave notifies the old home that this host leaves it, and waits for the
+// acknowledgement. Grants that arrive from now on are not used.
 func (l *link) leave(s *session) {
 	s.mu.Lock()
 	s.left = true
@@ -251,15 +259,15 @@
 		return
 	}
 	select {
-	case <-s.noted:
-		l.clean = true
-	case <-s.gone:
-	case <-time.After(leaveWait):
+	case <-s.leaveNoted:
+		l.leftCleanly = true
+	case <-s.readerDone:
+	case <-time.After(leaveTimeout):
 	}
 }
 
-func (l *link) read(s *session) {
-	defer close(s.gone)
+func (l *link) readFrames(s *session) {
+	defer close(s.readerDone)
 	for {
 		var b wire.Batch
 		if wire.Read(s.st.R, &b) != nil {
@@ -267,23 +275,23 @@
 		}
 		l.h.src.Events.Witness(b.Lamport)
 		for _, f := range b.Frames {
-			if !l.take(s, f) {
+			if !l.handleFrame(s, f) {
 				return
 			}
 		}
 	}
 }
 
-// take acts on one frame of the home; false ends the session.
-func (l *link) take(s *session, f *wire.Frame) bool {
+// handleFrame handles one frame from the home; false ends the session.
+func (l *link) handleFrame(s *session, f *wire.Frame) bool {
 	switch f.Body.(type) {
 	case *wire.Frame_Echo:
 		s.mu.Lock()
-		s.echoed = time.Now()
+		s.lastEcho = time.Now()
 		s.mu.Unlock()
 		return true
 	case *wire.Frame_LeftNoted:
-		close(s.noted)
+		close(s.leaveNoted)
 		return false
 	}
 	a, err := cellwire.Action(f)
@@ -295,16 +303,16 @@
 	left := s.left
 	s.mu.Unlock()
 	if !left {
-		l.h.act(l, a)
+		l.h.handleAction(l, a)
 	}
 	return true
 }
 
-// act carries out one action of the home.
-func (h *Holder) act(l *link, a core.Action) {
+// handleAction carries out one action that the home sent.
+func (h *Holder) handleAction(l *link, a core.Action) {
 	r, known := h.Get(a.ID)
 	if a.Kind == core.Revoke {
-		h.revoked(l, a.ID, r)
+		h.handleRevoke(l, a.ID, r)
 		return
 	}
 	if !known {
@@ -315,20 +323,20 @@
 	}
 	switch a.Kind {
 	case core.Grant:
-		r.granted(l, a)
+		r.handleGrant(l, a)
 	case core.Shed:
 		r.refuse(&failure.Error{Code: a.Reason, Message: "shed by the home of " + l.service, RetryAfter: a.RetryAfter})
 	case core.Attach:
 		r.attachTo(a.Holder, a.Server)
 	case core.Unproved:
-		r.unproved(a.Reason)
+		r.handleUnproved(a.Reason)
 	}
 }
 
-// revoked gives this host's word on an id that was resent elsewhere. For an
-// id it does not hold it leaves a mark, so that the request, should it still
-// be on its way to here, is turned away.
-func (h *Holder) revoked(l *link, id ident.RequestID, r *Record) {
+// handleRevoke answers whether an id that was resent through another host may
+// have run here. An id that is not held is marked as moved, so that the request
+// is rejected if it is still on its way to this host.
+func (h *Holder) handleRevoke(l *link, id ident.RequestID, r *Record) {
 	ans := core.RevokeAnswer{ID: id, Holder: h.self}
 	if r != nil {
 		ans = r.revoke()
@@ -340,6 +348,7 @@
 	}}})
 }
 
+// markMoved adds a record in state "moved" for an id that is not held.
 func (h *Holder) markMoved(id ident.RequestID, service string) {
 	r := newRecord(h, Submission{ID: id, Service: service, Deadline: time.Now().Add(time.Hour)})
 	h.mu.Lock()
--- a/internal/holder/meter.go
+++ b/internal/holder/meter.go
@@ -9,54 +9,58 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// meter sums what arrives from each server, so that its home learns of a
-// slow one long before an answer is whole. mu guards servers.
+// meter sums the tokens received from each server. Reporting them while
+// answers still stream lets the home, the host that runs the scheduler, detect
+// a slow server long before an answer is complete. mu guards servers.
 type meter struct {
 	mu      sync.Mutex
-	servers map[ident.ServerID]*served
+	servers map[ident.ServerID]*serverProgress
 }
 
-type served struct {
+// serverProgress is the progress of one server since the last report. seqTime
+// is the streaming time summed over all concurrent streams.
+type serverProgress struct {
 	tokens  int
-	active  int
-	since   time.Time // of the running sum
+	streams int
+	since   time.Time // up to which seqTime is counted
 	seqTime time.Duration
 }
 
-func (m *meter) at(id ident.ServerID) *served {
+func (m *meter) server(id ident.ServerID) *serverProgress {
 	if m.servers == nil {
-		m.servers = map[ident.ServerID]*served{}
+		m.servers = map[ident.ServerID]*serverProgress{}
 	}
 	s := m.servers[id]
 	if s == nil {
-		s = &served{since: time.Now()}
+		s = &serverProgress{since: time.Now()}
 		m.servers[id] = s
 	}
 	return s
 }
 
-// advance adds the streaming time up to now. The caller holds mu.
-func (s *served) advance(now time.Time) {
-	s.seqTime += time.Duration(s.active) * now.Sub(s.since)
+// advance adds the streaming time up to now. The caller holds meter.mu.
+func (s *serverProgress) advance(now time.Time) {
+	s.seqTime += time.Duration(s.streams) * now.Sub(s.since)
 	s.since = now
 }
 
-// stream counts a sequence that streams (+1) or stops (-1).
-func (m *meter) stream(id ident.ServerID, delta int) {
+// addActive counts a stream that starts (+1) or ends (-1).
+func (m *meter) addActive(id ident.ServerID, delta int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.at(id)
+	s := m.server(id)
 	s.advance(time.Now())
-	s.active += delta
+	s.streams += delta
 }
 
-func (m *meter) token(id ident.ServerID) {
+func (m *meter) countToken(id ident.ServerID) {
 	m.mu.Lock()
-	m.at(id).tokens++
+	m.server(id).tokens++
 	m.mu.Unlock()
 }
 
-// frames appends one progress frame for each server that streamed.
+// frames appends one progress frame for each server that streamed, and resets
+// the sums.
 func (m *meter) frames(out []*wire.Frame) []*wire.Frame {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/holder/record.go
+++ b/internal/holder/record.go
@@ -15,7 +15,7 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// The states and events of the request chart that the code asks for.
+// States and events of the request's state chart that the code refers to.
 const (
 	stateReceived   chart.State = "received"
 	stateWaiting    chart.State = "waiting"
@@ -46,7 +46,7 @@
 
 var requestChart = charts.MustLoad().Request
 
-// Submission is a checked request as the callers' interface hands it over.
+// Submission is a validated request from the callers' interface.
 type Submission struct {
 	ID            ident.RequestID
 	Account       string
@@ -67,58 +67,58 @@
 	Deadline      time.Time
 	Resend        bool
 	Tried         []ident.Incarnation
-	// LocateOnly asks for an answer that some host holds; there is no body
-	// and nothing is ever dispatched from here.
+	// LocateOnly requests an answer that some other host holds. Such a
+	// request has no body and is never dispatched from this host.
 	LocateOnly bool
 }
 
-// claimed tells whether a claim row is needed before dispatch. A keyed
-// request needs it too: the same key may come through two hosts at once that
-// follow two homes.
-func (s *Submission) claimed() bool { return s.NonIdempotent || s.Keyed }
+// needsClaim reports whether a claim row is required before the dispatch. A
+// keyed request needs one too: the same key may arrive at the same time through
+// two hosts that follow different homes.
+func (s *Submission) needsClaim() bool { return s.NonIdempotent || s.Keyed }
 
-// Record is one request that this host holds.
-// mu guards all fields below it; the chart decides every change of state.
+// Record is one request that this host holds. mu guards all fields below it.
+// The state chart decides every state transition.
 type Record struct {
-	h      *Holder
-	Sub    Submission
-	answer *Answer
-	token  ident.RequestID // of the claim row, one for the life of the record
-	// attempt numbers the records of this host; see core.Request.Attempt.
+	h          *Holder
+	Sub        Submission
+	answer     *Answer
+	claimToken ident.RequestID // identifies the claim row; constant for the record's lifetime
+	// attempt is unique among the records of this host; see core.Request.Attempt.
 	attempt uint32
 
-	mu         sync.Mutex
-	machine    chart.Machine
-	server     ident.ServerID
-	claimAsked bool
-	ruled      bool // the home granted this attempt once: no other holder can have run the id
-	deadline   *time.Timer
-	readers    int
-	idleSince  time.Time // when the last reader left
-	endedAt    time.Time
-	kept       int // bytes of the whole answer that the holder's books count
-	dispatched time.Time
-	first      time.Time
-	cancel     context.CancelFunc // of the dispatch, relay or resume in progress
+	mu             sync.Mutex
+	machine        chart.Machine
+	server         ident.ServerID
+	claimRequested bool
+	everGranted    bool // a home granted this attempt, so no other holder can have run the id
+	deadline       *time.Timer
+	readers        int
+	idleSince      time.Time // when the last reader left
+	endedAt        time.Time
+	answerBytes    int // size of the finished answer as counted in Holder.heldBytes
+	dispatchedAt   time.Time
+	firstPartAt    time.Time
+	cancel         context.CancelFunc // of the dispatch, relay or resume in progress
 }
 
 func newRecord(h *Holder, sub Submission) *Record {
-	r := &Record{h: h, Sub: sub, answer: newAnswer(), machine: requestChart.Start(), token: ident.Mint(h.self), attempt: h.attempts.Add(1), idleSince: time.Now()}
+	r := &Record{h: h, Sub: sub, answer: newAnswer(), machine: requestChart.Start(), claimToken: ident.Mint(h.self), attempt: h.attempts.Add(1), idleSince: time.Now()}
 	r.deadline = time.AfterFunc(time.Until(sub.Deadline), r.deadlinePassed)
 	return r
 }
 
-// Answer returns the answer to follow.
+// Answer returns the request's answer.
 func (r *Record) Answer() *Answer { return r.answer }
 
-// State returns the state of the chart.
+// State returns the current state.
 func (r *Record) State() chart.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.State()
 }
 
-// Follow counts one reader more; the returned function counts it off.
+// Follow adds a reader; the returned function removes it.
 func (r *Record) Follow() (leave func()) {
 	r.mu.Lock()
 	r.readers++
@@ -131,9 +131,9 @@
 	}
 }
 
-// fire takes a transition; it reports whether the chart allows it. The
-// caller holds mu.
-func (r *Record) fire(e chart.Event) bool {
+// fireLocked applies the transition for an event and reports whether the state
+// chart allows it. The caller holds mu.
+func (r *Record) fireLocked(e chart.Event) bool {
 	if r.machine.Fire(e) != nil {
 		return false
 	}
@@ -144,11 +144,11 @@
 	return true
 }
 
-// step is fire with the lock taken.
-func (r *Record) step(e chart.Event) bool {
+// fire is fireLocked for callers that do not hold mu.
+func (r *Record) fire(e chart.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fire(e)
+	return r.fireLocked(e)
 }
 
 func (r *Record) record(code event.Code, detail string) {
@@ -163,18 +163,19 @@
 	return r.server
 }
 
-// refuse ends a request of which nothing ran. It reports false when the
-// chart does not allow it: then a dispatch won, or another host holds the
-// request, and their outcome counts.
+// refuse ends a request that was not run. It reports false when the state chart
+// does not allow it: a dispatch came first, or another host holds the request,
+// and that outcome counts.
 //
-// Guard: an eviction, a shed or a deadline can cross a grant. All of them and
-// the dispatch take their step under mu, so exactly one wins. A request that
-// follows another host's answer may run there: our own deadline says nothing
-// about it, only that host's word does (evNotRunThere).
+// An eviction, a shed or a deadline can race with a grant. All of them and the
+// dispatch fire their transition under mu, so exactly one wins. A request that
+// follows another host's answer may run there: the deadline here proves nothing
+// about it, only a report from that host does (evNotRunThere).
 func (r *Record) refuse(e *failure.Error) bool { return r.endNotRun(evRefuse, e) }
 
+// endNotRun ends a request that was not run, by the given event.
 func (r *Record) endNotRun(ev chart.Event, e *failure.Error) bool {
-	if !r.step(ev) {
+	if !r.fire(ev) {
 		return false
 	}
 	r.answer.finish(e)
@@ -184,9 +185,9 @@
 	return true
 }
 
-// giveUp ends a request that may have run.
-func (r *Record) giveUp(e *failure.Error) {
-	if !r.step(evGiveUp) {
+// endUnknown ends a request that may have run, with an unknown outcome.
+func (r *Record) endUnknown(e *failure.Error) {
+	if !r.fire(evGiveUp) {
 		return
 	}
 	r.answer.finish(e)
@@ -194,14 +195,14 @@
 	r.freeBody()
 }
 
-// withdraw ends a request of which nothing ran here and tells the home.
+// withdraw ends a request that was not run here and notifies the home.
 //
-// Guard: a resend that the home has not ruled on may have run at a holder
-// tried before, whose word is missing. This host only knows that nothing ran
-// by its own attempt, so its word on the request is unknown.
+// A resend that no home has granted may have run at a holder that was tried
+// before and has not reported on it. This host only knows that its own attempt
+// did not run, so the outcome that it reports for the request is unknown.
 func (r *Record) withdraw(e *failure.Error) bool {
 	r.mu.Lock()
-	e.Unproved = r.Sub.Resend && !r.ruled
+	e.Unproved = r.Sub.Resend && !r.everGranted
 	r.mu.Unlock()
 	if !r.refuse(e) {
 		return false
@@ -210,8 +211,9 @@
 	return true
 }
 
-// deadlinePassed tells the caller at once when nothing ran in time. What was
-// dispatched goes on: its answer is owed whole.
+// deadlinePassed ends a request that was not dispatched by its deadline, so
+// that the caller gets an answer at once. A dispatched request continues: its
+// caller is owed the complete answer.
 func (r *Record) deadlinePassed() {
 	if r.withdraw(&failure.Error{Code: failure.Deadline, Message: "not started before its deadline", RetryAfter: time.Second}) {
 		return
@@ -225,11 +227,11 @@
 	}
 }
 
-// revoke gives the request up because it was resent through another host. It
-// returns the word for the home.
+// revoke ends the request here because it was resent through another host,
+// unless it may have run. It returns the answer for the home.
 func (r *Record) revoke() core.RevokeAnswer {
 	r.mu.Lock()
-	won := r.fire(evRevoke)
+	won := r.fireLocked(evRevoke)
 	server, state := r.server, r.machine.State()
 	r.mu.Unlock()
 	ans := core.RevokeAnswer{ID: r.Sub.ID, Holder: r.h.self, Server: server}
@@ -240,14 +242,15 @@
 		r.releaseClaim()
 		return ans
 	}
-	if ran(state) {
+	if mayHaveRun(state) {
 		ans.Verdict = core.Dispatched
 	}
 	return ans
 }
 
-// ran reports whether a state means that a dispatch may have happened here.
-func ran(s chart.State) bool {
+// mayHaveRun reports whether a request in this state may have been dispatched
+// here.
+func mayHaveRun(s chart.State) bool {
 	switch s {
 	case stateDispatched, stateRunning, stateCut, stateAnswered, "unknown":
 		return true
@@ -255,15 +258,15 @@
 	return false
 }
 
-// releaseClaim deletes a claim row that was asked for and will not be used.
+// releaseClaim deletes a claim row that was requested and will not be used.
 func (r *Record) releaseClaim() {
 	r.mu.Lock()
-	asked := r.claimAsked
-	r.claimAsked = false
+	asked := r.claimRequested
+	r.claimRequested = false
 	r.mu.Unlock()
 	if asked {
-		owner := claim.Owner{Incarnation: r.h.self, Token: r.token}
-		r.h.unused.add(r.token)
+		owner := claim.Owner{Incarnation: r.h.self, Token: r.claimToken}
+		r.h.unused.add(r.claimToken)
 		r.h.background(func(ctx context.Context) { r.h.src.Claims.Release(ctx, r.Sub.ID, owner) })
 	}
 }
@@ -276,8 +279,9 @@
 	r.h.addBytes(-n)
 }
 
-// ledgerLine is the record's line in a report; false when it has none.
-func (r *Record) ledgerLine() (core.LedgerEntry, bool) {
+// ledgerEntry returns the record's line of a report to the home, and false when
+// it has none.
+func (r *Record) ledgerEntry() (core.LedgerEntry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := core.LedgerEntry{
@@ -291,7 +295,7 @@
 		e.State = core.LedgerWaiting
 	case s == stateGranted || s == stateClaiming || s == stateDispatched || s == stateRunning || s == stateCut:
 		e.State = core.LedgerGranted
-	case ran(s):
+	case mayHaveRun(s):
 		e.State = core.LedgerDone
 	default:
 		return e, false
@@ -299,13 +303,13 @@
 	return e, true
 }
 
-// coreRequest is what the home is told of the request.
+// coreRequest returns the request as it is registered with the home.
 func (r *Record) coreRequest() core.Request {
 	s := &r.Sub
 	return core.Request{
 		ID: s.ID, Holder: r.h.self, Attempt: r.attempt, Account: ident.Account(s.Account), Tier: s.Tier,
 		PromptTokens: s.PromptTokens, OutputTokens: s.OutputTokens,
 		Prefix: s.Prefix, PrefixTokens: s.PrefixTokens, Whole: s.Whole,
-		Resend: s.Resend, Tried: s.Tried, Claimed: s.claimed(),
+		Resend: s.Resend, Tried: s.Tried, Claimed: s.needsClaim(),
 	}
 }
--- a/internal/holder/relay.go
+++ b/internal/holder/relay.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	relaySilence = 2 * time.Second
-	relayPause   = 200 * time.Millisecond
-	relayChunk   = 64 << 10
-	askTimeout   = 1 * time.Second
+	// relayTimeout bounds each read and write on a relay stream.
+	relayTimeout         = 2 * time.Second
+	relayRetryDelay      = 200 * time.Millisecond
+	relayChunkBytes      = 64 << 10
+	attachRequestTimeout = 1 * time.Second
 )
 
-// attachTo follows an answer that another holder has.
+// attachTo follows the answer that another holder has.
 func (r *Record) attachTo(holder ident.Incarnation, server ident.ServerID) {
-	if !r.step(evAttach) {
+	if !r.fire(evAttach) {
 		return
 	}
 	r.record(event.RequestAttached, holder.String())
@@ -34,32 +35,33 @@
 	})
 }
 
-// unproved handles a resend of which no one can prove that it did not run.
-// The servers are asked for the id: one that knows it has the answer. If none
-// does, that proves nothing, since a dispatch may still be on its way.
-func (r *Record) unproved(reason failure.Code) {
+// handleUnproved handles a resend for which no host can prove that the request
+// did not run. It asks the backend servers for the id; a server that knows the
+// id has the answer. If none does, the outcome is unknown, since a dispatch may
+// still be in transit.
+func (r *Record) handleUnproved(reason failure.Code) {
 	if reason == failure.UnknownRequest {
 		if m, ok := r.h.src.Members.Get(r.Sub.ID.Ticket()); ok && m.State != member.Dead && m.Incarnation != r.h.self {
 			r.attachTo(m.Incarnation, 0)
 			return
 		}
 	}
-	if !r.step(evAttach) {
+	if !r.fire(evAttach) {
 		return
 	}
 	r.h.background(func(ctx context.Context) {
 		ctx, cancel := context.WithDeadline(ctx, r.Sub.Deadline)
 		defer cancel()
 		r.setCancel(cancel)
-		if r.resumeAnywhere(ctx) {
+		if r.resumeAtAnyServer(ctx) {
 			return
 		}
-		r.giveUp(&failure.Error{Code: reason, Message: "no proof that it did not run, and no backend server knows it"})
+		r.endUnknown(&failure.Error{Code: reason, Message: "no proof that it did not run, and no backend server knows it"})
 	})
 }
 
-// relay copies the answer from its holder; when the holder is dead or does
-// not answer, it resumes the stream at the backend server.
+// relay copies the answer from its holder. When the holder is dead or does not
+// answer, it resumes the stream at the backend server.
 func (r *Record) relay(ctx context.Context, holder ident.Incarnation, server ident.ServerID) {
 	for ctx.Err() == nil {
 		m, ok := r.h.src.Members.Get(holder)
@@ -69,10 +71,10 @@
 			case relayEnded:
 				return
 			case relayNotHeld:
-				// The holder answers and does not have it: asking again does
-				// not help, only the server may still know it.
+				// The holder answered that it does not have the request. A
+				// retry cannot help; only the server may still know it.
 				if server == 0 || !r.resumeAt(ctx, server) {
-					r.giveUp(&failure.Error{Code: failure.UnknownRequest, Message: "the host that had it does not hold it any more"})
+					r.endUnknown(&failure.Error{Code: failure.UnknownRequest, Message: "the host that had it does not hold it any more"})
 				}
 				return
 			}
@@ -83,36 +85,36 @@
 		if !alive && (server == 0 || r.Sub.Plain || m.Proved) {
 			break
 		}
-		wait(ctx, relayPause)
+		wait(ctx, relayRetryDelay)
 	}
-	r.giveUp(&failure.Error{Code: failure.HolderLost, Message: "its holder is gone and no backend server gave its answer"})
+	r.endUnknown(&failure.Error{Code: failure.HolderLost, Message: "its holder is gone and no backend server gave its answer"})
 }
 
-// relayResult tells how one try to copy from a holder ended.
+// relayResult is the result of one attempt to copy from a holder.
 type relayResult uint8
 
 const (
-	relayBroke   relayResult = iota // the holder was not reached or fell silent
-	relayNotHeld                    // the holder answers and does not hold the id
-	relayEnded                      // the record has its final word
+	relayBroken  relayResult = iota // the holder was not reached or the stream broke or stalled
+	relayNotHeld                    // the holder answered that it does not hold the id
+	relayEnded                      // the record ended with the holder's result
 )
 
-// relayFrom copies from a live holder.
+// relayFrom copies the answer from a live holder.
 func (r *Record) relayFrom(ctx context.Context, m member.Member) relayResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	st, err := r.h.src.Peers.OpenStream(ctx, peer.Target{Address: m.ControlAddress, Incarnation: m.Incarnation}, wire.StreamKind_STREAM_ATTACH, r.Sub.Service)
 	if err != nil {
-		return relayBroke
+		return relayBroken
 	}
 	defer func() { _ = st.Close() }()
-	ask := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.Account(r.Sub.Account)), Offset: uint64(r.answer.size())}
-	if wire.Write(st, ask) != nil {
-		return relayBroke
+	req := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.Account(r.Sub.Account)), Offset: uint64(r.answer.size())}
+	if wire.Write(st, req) != nil {
+		return relayBroken
 	}
 	var head wire.AnswerHead
-	if readWithin(st, &head, relaySilence) != nil {
-		return relayBroke
+	if readWithin(st, &head, relayTimeout) != nil {
+		return relayBroken
 	}
 	if !head.Found {
 		return relayNotHeld
@@ -120,19 +122,20 @@
 	if r.copyParts(ctx, st) {
 		return relayEnded
 	}
-	return relayBroke
+	return relayBroken
 }
 
-// copyParts takes parts until the end of the answer.
+// copyParts receives parts until the end of the answer. It reports whether the
+// record ended.
 //
-// Guard: a relay that breaks off must never look like a whole answer. Only a
-// part marked as the end, whose length and checksum equal what is here, ends
-// the record; anything else makes the caller of copyParts try again.
+// A relay that breaks must never look like a complete answer. Only a part that
+// is marked as the end, and whose length and checksum match the received bytes,
+// ends the record; otherwise the caller of copyParts retries.
 func (r *Record) copyParts(ctx context.Context, st *peer.Stream) bool {
 	context.AfterFunc(ctx, st.Abort)
 	for ctx.Err() == nil {
 		var p wire.AnswerPart
-		if readWithin(st, &p, relaySilence) != nil {
+		if readWithin(st, &p, relayTimeout) != nil {
 			return false
 		}
 		if p.ContentType != "" {
@@ -146,26 +149,26 @@
 			continue
 		}
 		if p.Failure != "" {
-			r.endAs(&failure.Error{Code: failure.Code(p.Failure), Message: p.Message, RetryAfter: time.Duration(p.RetryAfterMs) * time.Millisecond, Unproved: p.Unproved})
+			r.endWith(&failure.Error{Code: failure.Code(p.Failure), Message: p.Message, RetryAfter: time.Duration(p.RetryAfterMs) * time.Millisecond, Unproved: p.Unproved})
 			return true
 		}
 		length, sum := r.answer.Whole()
 		if uint64(length) != p.Length || sum != p.Checksum {
 			return false
 		}
-		r.answered()
+		r.completeAnswered()
 		return true
 	}
 	return false
 }
 
-// endAs passes on the final word of the holder.
-func (r *Record) endAs(e *failure.Error) {
+// endWith ends the record with the holder's final error.
+func (r *Record) endWith(e *failure.Error) {
 	if e.Outcome() == failure.NotRun {
 		r.endNotRun(evNotRunThere, e)
 		return
 	}
-	r.giveUp(e)
+	r.endUnknown(e)
 }
 
 func readWithin(st *peer.Stream, m wire.Message, d time.Duration) error {
@@ -173,8 +176,8 @@
 	return wire.Read(st.R, m)
 }
 
-// resumeAt continues the stream at the server it was dispatched to. It
-// reports whether the record ended.
+// resumeAt reads the answer from its first part at the given server. It reports
+// whether the record ended.
 func (r *Record) resumeAt(ctx context.Context, server ident.ServerID) bool {
 	b, ok := r.h.backendOf(r.Sub.Service, server)
 	if !ok || r.Sub.Plain {
@@ -187,12 +190,13 @@
 	r.mu.Lock()
 	r.server = server
 	r.mu.Unlock()
-	r.answered()
+	r.completeAnswered()
 	return true
 }
 
-// resumeAnywhere asks every server of the service for the id.
-func (r *Record) resumeAnywhere(ctx context.Context) bool {
+// resumeAtAnyServer calls resumeAt for each server of the service in turn. It
+// reports whether the record ended.
+func (r *Record) resumeAtAnyServer(ctx context.Context) bool {
 	inForce := r.h.src.Config.Current()
 	if inForce == nil || r.Sub.Plain {
 		return false
@@ -209,8 +213,9 @@
 	return false
 }
 
-// relaySink takes a stream from its first part although a beginning of it
-// may be here already, in bytes: what is known is compared, the rest joins.
+// relaySink receives a stream from its first part. The record may already have
+// the first bytes of the answer: these are compared and only new bytes are
+// appended.
 type relaySink struct {
 	r      *Record
 	offset int
@@ -233,58 +238,60 @@
 	return true
 }
 
-// ServeAttach answers another host that follows a request held here.
+// ServeAttach sends the answer of a request held here to another host that
+// follows it.
 func (h *Holder) ServeAttach(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
-	var ask wire.AttachRequest
-	if readWithin(st, &ask, askTimeout) != nil {
+	var req wire.AttachRequest
+	if readWithin(st, &req, attachRequestTimeout) != nil {
 		return
 	}
-	r := h.attachable(&ask)
+	r := h.attachable(&req)
 	if wire.Write(st, &wire.AnswerHead{Found: r != nil}) != nil || r == nil {
 		return
 	}
 	leave := r.Follow()
 	defer leave()
-	r.copyTo(st, int(ask.Offset))
+	r.sendAnswer(st, int(req.Offset))
 }
 
-// attachable finds the record that is held here, not one that is itself
-// followed from elsewhere: two hosts would wait for each other.
-func (h *Holder) attachable(ask *wire.AttachRequest) *Record {
-	id, err := ident.FromBytes(ask.GetId())
+// attachable returns the record of a request that is held here. It returns nil
+// for a record that itself follows another host, because two hosts could then
+// wait for each other.
+func (h *Holder) attachable(req *wire.AttachRequest) *Record {
+	id, err := ident.FromBytes(req.GetId())
 	if err != nil {
 		return nil
 	}
 	r, ok := h.Get(id)
-	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.Account(r.Sub.Account)) != ask.GetAccount() {
+	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.Account(r.Sub.Account)) != req.GetAccount() {
 		return nil
 	}
 	return r
 }
 
-// copyTo sends the answer from an offset on. While nothing arrives it sends
-// empty parts, by which the other end knows that the stream is alive.
-func (r *Record) copyTo(st *peer.Stream, offset int) {
+// sendAnswer sends the answer from an offset on. While no data arrives it sends
+// empty parts as keep-alives.
+func (r *Record) sendAnswer(st *peer.Stream, offset int) {
 	for {
-		ctx, cancel := context.WithTimeout(r.h.ctx, relaySilence/4)
+		ctx, cancel := context.WithTimeout(r.h.ctx, relayTimeout/4)
 		data, ended, err := r.answer.Read(ctx, offset)
 		cancel()
-		data = data[:min(len(data), relayChunk)]
+		data = data[:min(len(data), relayChunkBytes)]
 		status, contentType := r.answer.Head()
 		part := &wire.AnswerPart{Offset: uint64(offset), Data: data, Status: uint32(status), ContentType: contentType}
 		offset += len(data)
 		if ended && offset >= r.answer.size() {
-			finalPart(part, r.answer, err)
+			fillFinalPart(part, r.answer, err)
 		}
-		_ = st.SetWriteDeadline(time.Now().Add(relaySilence))
+		_ = st.SetWriteDeadline(time.Now().Add(relayTimeout))
 		if wire.Write(st, part) != nil || part.End || r.h.ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-func finalPart(p *wire.AnswerPart, a *Answer, err error) {
+func fillFinalPart(p *wire.AnswerPart, a *Answer, err error) {
 	p.End = true
 	if err != nil {
 		e := failure.From(err)
--- a/internal/holder/unused.go
+++ b/internal/holder/unused.go
@@ -7,38 +7,38 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// unusedClaims remembers the tokens of claims that were asked for by attempts
-// which ended without a dispatch. A row with such a token proves nothing
-// against a newer attempt at this host. The zero value is ready. mu guards
-// since.
+// unusedClaims remembers the tokens of claims that were requested by attempts
+// that ended without a dispatch. A claim row with such a token does not mean
+// that the request ran, so a newer attempt at this host may replace it. The
+// zero value is ready to use. mu guards addedAt.
 type unusedClaims struct {
-	mu    sync.Mutex
-	since map[ident.RequestID]time.Time
+	mu      sync.Mutex
+	addedAt map[ident.RequestID]time.Time
 }
 
 func (u *unusedClaims) add(token ident.RequestID) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.since == nil {
-		u.since = map[ident.RequestID]time.Time{}
+	if u.addedAt == nil {
+		u.addedAt = map[ident.RequestID]time.Time{}
 	}
-	u.since[token] = time.Now()
+	u.addedAt[token] = time.Now()
 }
 
 func (u *unusedClaims) has(token ident.RequestID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	_, ok := u.since[token]
+	_, ok := u.addedAt[token]
 	return ok
 }
 
-// expire forgets what was added before a moment.
+// expire removes the tokens that were added before the given time.
 func (u *unusedClaims) expire(before time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for token, at := range u.since {
+	for token, at := range u.addedAt {
 		if at.Before(before) {
-			delete(u.since, token)
+			delete(u.addedAt, token)
 		}
 	}
 }
