--- a/internal/home/cell.go
+++ b/internal/home/cell.go
@@ -16,70 +16,71 @@
 )
 
 const (
-	inputSize  = 8192
-	outputSize = 4096
-	busyTick   = 20 * time.Millisecond
-	idleTick   = 200 * time.Millisecond
+	inputQueueSize  = 8192
+	outputQueueSize = 4096
+	busyTickPeriod  = 20 * time.Millisecond
+	idleTickPeriod  = 200 * time.Millisecond
 )
 
-// input is one item of the cell's ring: an event, a link that opens or
-// closes, or a question about the cell's state.
+// input is one item of the cell's input ring: an event, a link that opened or
+// closed, or a function to call on the cell's goroutine.
 type input struct {
 	event  core.Event
-	link   *link // set when a holder's stream opened
-	closed *link // set when it broke
-	ask    func(*core.Cell)
+	link   *link // the link of a holder's stream that opened
+	closed *link // the link of a stream that broke
+	call   func(*core.Cell)
 }
 
-// link is the home's end of one holder's stream. out carries frames to the
-// goroutine that writes the stream.
+// link is the home's end of the stream from one holder. out carries frames to
+// the goroutine that writes the stream.
 type link struct {
 	holder ident.Incarnation
 	out    *ring.Ring[*wire.Frame]
-	cut    context.CancelFunc
+	cancel context.CancelFunc
 }
 
-// cell is the duty of one home. Its goroutine owns core, links and servers;
-// others talk to it through in.
+// cell runs the queue and scheduler of one service. Its goroutine owns core,
+// links and serverNames; other goroutines send it input through in.
 type cell struct {
-	service string
-	events  *event.Recorder
-	in      *ring.Ring[input]
-	start   time.Time
-	core    *core.Cell
-	links   map[ident.Incarnation]*link
-	names   map[ident.ServerID]string
-
-	ctx  context.Context
-	stop context.CancelFunc
-	done sync.WaitGroup
+	service     string
+	events      *event.Recorder
+	in          *ring.Ring[input]
+	start       time.Time
+	core        *core.Cell
+	links       map[ident.Incarnation]*link
+	serverNames map[ident.ServerID]string
+
+	ctx   context.Context
+	stop  context.CancelFunc
+	tasks sync.WaitGroup
 }
 
 func newCell(ctx context.Context, service string, policy core.Policy, events *event.Recorder) *cell {
 	ctx, stop := context.WithCancel(ctx)
 	c := &cell{
-		service: service, events: events, in: ring.New[input](inputSize), start: time.Now(),
-		links: map[ident.Incarnation]*link{}, names: map[ident.ServerID]string{}, ctx: ctx, stop: stop,
+		service: service, events: events, in: ring.New[input](inputQueueSize), start: time.Now(),
+		links: map[ident.Incarnation]*link{}, serverNames: map[ident.ServerID]string{}, ctx: ctx, stop: stop,
 	}
 	c.core = core.NewCell(c.now(), policy)
-	c.done.Go(c.run)
+	c.tasks.Go(c.run)
 	return c
 }
 
-// now is the cell's monotonic clock.
+// now reads the cell's monotonic clock.
 func (c *cell) now() core.Time { return core.Time(time.Since(c.start)) }
 
-// push hands an event to the cell's goroutine.
+// push sends an input to the cell's goroutine. It blocks while the ring is
+// full.
 func (c *cell) push(in input) {
 	if c.in.TryPush(in) {
 		return
 	}
 	c.events.Record(event.HomeFull, event.Fields{Service: c.service})
-	_ = c.in.Push(c.ctx, in) // fails only when the cell stops
+	_ = c.in.Push(c.ctx, in) // fails only when the cell is stopped
 }
 
 func (c *cell) run() {
-	tick := time.NewTimer(idleTick)
+	tick := time.NewTimer(idleTickPeriod)
 	defer tick.Stop()
 	var batch []input
 	var actions []core.Action
@@ -108,17 +109,17 @@
 
 func (c *cell) tickPeriod() time.Duration {
 	if c.core.Waiting() > 0 {
-		return busyTick
+		return busyTickPeriod
 	}
-	return idleTick
+	return idleTickPeriod
 }
 
 func (c *cell) handle(in input, actions []core.Action) []core.Action {
 	switch {
-	case in.ask != nil:
-		in.ask(c.core)
+	case in.call != nil:
+		in.call(c.core)
 	case in.link != nil:
-		c.attach(in.link)
+		c.addLink(in.link)
 	case in.closed != nil:
 		if c.links[in.closed.holder] == in.closed {
 			delete(c.links, in.closed.holder)
@@ -130,23 +131,23 @@
 	return c.core.Step(c.now(), in.event, actions)
 }
 
-// attach makes l the stream of its holder; an older one is cut.
-func (c *cell) attach(l *link) {
+// addLink makes l the link of its holder and cancels an older one.
+func (c *cell) addLink(l *link) {
 	if old := c.links[l.holder]; old != nil {
-		old.cut()
+		old.cancel()
 	}
 	c.links[l.holder] = l
 }
 
 func (c *cell) closeLinks() {
 	for _, l := range c.links {
-		l.cut()
+		l.cancel()
 	}
 }
 
-// send hands the actions of one round to the links. A link whose ring is
-// full belongs to a holder that does not read: it is cut, and its holder
-// reports again when it comes back.
+// send passes the actions of one round to the links. A link whose ring is full
+// belongs to a holder that does not read: it is cancelled, and its holder sends
+// a new report when it reconnects.
 func (c *cell) send(actions []core.Action) {
 	for _, a := range actions {
 		c.record(a)
@@ -156,13 +157,13 @@
 			continue
 		}
 		if !l.out.TryPush(f) {
-			l.cut()
+			l.cancel()
 		}
 	}
 }
 
 func (c *cell) record(a core.Action) {
-	f := event.Fields{Service: c.service, Server: c.names[a.Server]}
+	f := event.Fields{Service: c.service, Server: c.serverNames[a.Server]}
 	switch a.Kind {
 	case core.Grant:
 		f.Request = a.ID.String()
@@ -182,13 +183,14 @@
 	}
 }
 
-// configure gives the cell the inventory's servers and the accounts' shares.
+// configure sends the cell the servers of the inventory and the accounts'
+// shares.
 func (c *cell) configure(doc *config.Document, svc *config.Service) {
 	ev := core.Configure{Waiting: doc.Rules.Limits.Waiting, Horizon: doc.Rules.Limits.Horizon.Std()}
-	names := map[ident.ServerID]string{}
+	serverNames := map[ident.ServerID]string{}
 	for _, b := range svc.BackendServers {
 		id := ident.Server(b.Name)
-		names[id] = b.Name
+		serverNames[id] = b.Name
 		ev.Servers = append(ev.Servers, core.ServerSpec{
 			ID: id, Speed: b.Speed, MaxSequences: b.MaxSequences, CacheTokens: b.CacheTokens,
 			Plain: svc.Kind == config.PlainService, Leaving: b.State == config.ServerLeaving,
@@ -197,11 +199,11 @@
 	for _, a := range doc.ClientAccounts {
 		ev.Shares = append(ev.Shares, core.AccountShare{Account: ident.Account(a.Name), Share: a.Share})
 	}
-	c.push(input{event: ev, ask: func(*core.Cell) { c.names = names }})
+	c.push(input{event: ev, call: func(*core.Cell) { c.serverNames = serverNames }})
 }
 
-// tellMembers gives the cell the live holders and ends those that died.
-func (c *cell) tellMembers(all []member.Member) {
+// updateMembers sends the cell the live holders and ends those that are dead.
+func (c *cell) updateMembers(all []member.Member) {
 	var live core.Members
 	for _, m := range all {
 		if m.State == member.Dead {
@@ -213,10 +215,11 @@
 	c.push(input{event: live})
 }
 
-// query runs f on the cell's goroutine and waits for it.
+// query runs f on the cell's goroutine and waits for it. It returns false when
+// the cell stops first.
 func (c *cell) query(f func(*core.Cell)) bool {
 	done := make(chan struct{})
-	c.push(input{ask: func(cc *core.Cell) {
+	c.push(input{call: func(cc *core.Cell) {
 		f(cc)
 		close(done)
 	}})
--- a/internal/home/link.go
+++ b/internal/home/link.go
@@ -11,14 +11,14 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// serveLink reads a holder's stream into the cell until it breaks, and
-// writes what the cell sends.
+// serveLink passes the frames of a holder's stream to the cell until the stream
+// breaks, and writes the frames that the cell sends.
 func (c *cell) serveLink(st *peer.Stream) {
-	ctx, cut := context.WithCancel(c.ctx)
-	defer cut()
-	l := &link{holder: st.Peer.Incarnation, out: ring.New[*wire.Frame](outputSize), cut: cut}
+	ctx, cancel := context.WithCancel(c.ctx)
+	defer cancel()
+	l := &link{holder: st.Peer.Incarnation, out: ring.New[*wire.Frame](outputQueueSize), cancel: cancel}
 	context.AfterFunc(ctx, st.Abort) // ends the reads below
-	c.done.Go(func() { c.writeLink(ctx, st, l) })
+	c.tasks.Go(func() { c.writeLink(ctx, st, l) })
 	report, err := readReport(st)
 	if err != nil {
 		return
@@ -30,7 +30,8 @@
 	c.push(input{closed: l})
 }
 
-// readReport collects the parts of the report that opens a stream.
+// readReport reads the report with which a stream starts. It may arrive in
+// several messages.
 func readReport(st *peer.Stream) (core.Report, error) {
 	var out core.Report
 	for {
@@ -64,16 +65,16 @@
 		}
 		c.events.Witness(b.Lamport)
 		for _, f := range b.Frames {
-			if !c.take(f, l) {
+			if !c.handleFrame(f, l) {
 				return
 			}
 		}
 	}
 }
 
-// take hands one frame to the cell; a frame it does not understand ends the
-// stream, since what follows cannot be trusted either.
-func (c *cell) take(f *wire.Frame, l *link) bool {
+// handleFrame passes one frame to the cell as an event. An invalid frame ends
+// the stream, since the frames after it cannot be trusted either.
+func (c *cell) handleFrame(f *wire.Frame, l *link) bool {
 	ev, err := cellwire.Event(f, l.holder, c.now())
 	if err != nil {
 		c.events.Record(event.DutyFailed, event.Fields{Service: c.service, Detail: err.Error()})
@@ -89,7 +90,7 @@
 	return true
 }
 
-// writeLink sends everything that waits in one batch.
+// writeLink writes the queued frames, all that are waiting in one batch.
 func (c *cell) writeLink(ctx context.Context, st *peer.Stream, l *link) {
 	var frames []*wire.Frame
 	for {
@@ -103,7 +104,7 @@
 			continue
 		}
 		if wire.Write(st, &wire.Batch{Lamport: c.events.Clock(), Frames: frames}) != nil {
-			l.cut()
+			l.cancel()
 			return
 		}
 	}
--- a/internal/home/manager.go
+++ b/internal/home/manager.go
@@ -1,5 +1,7 @@
-// Package home runs the scheduler duty: for each service whose home this
-// host is, one goroutine owns a core.Cell and feeds it from a bounded ring.
+// Package home runs the schedulers of the services whose home is this host. The
+// home of a service is the host that runs its scheduler. The cell of a service
+// is its queue and scheduler: one goroutine for each service owns a core.Cell
+// and feeds it events from a bounded ring.
 package home
 
 import (
@@ -20,18 +22,19 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// closeGrace is how long a cell that is no longer ours is kept for holders
-// that have not moved yet.
+// closeGrace is how long a cell is kept after another host became the home, for
+// holders that have not moved yet.
 const closeGrace = 3 * time.Second
 
-// Sources are what a Manager reads from other duties.
+// Sources are the components that a Manager depends on.
 type Sources struct {
 	Members *member.Table
 	Config  *configsync.Syncer
 	Peers   *peer.Manager
-	// Watch is the transport for the reports of backend servers.
+	// Watch is the HTTP transport for reading the reports of backend servers and
+	// for ordering their states.
 	Watch http.RoundTripper
-	// Table keeps the leases under which orders are given.
+	// Table stores the leases under which orders are sent to backend servers.
 	Table platform.Table
 }
 
@@ -44,35 +47,35 @@
 	ctx    context.Context
 
 	mu      sync.Mutex
-	cells   map[string]*hosted
-	leaving map[string]bool // addresses that the host list says leave
+	cells   map[string]*hostedCell
+	leaving map[string]bool // addresses that are leaving according to the host list
 }
 
-// hosted is a cell with what the manager knows of it.
-type hosted struct {
+// hostedCell is a cell with the manager's state for it.
+type hostedCell struct {
 	cell     *cell
 	watchers map[string]context.CancelFunc // by server address
-	lost     time.Time                     // when another host became the home; zero while ours
-	draining map[string]bool               // addresses whose own report says draining
+	lostAt   time.Time                     // when another host became the home; zero while this host is
+	draining map[string]bool               // addresses of servers that report that they are draining
 	applied  *configsync.InForce
 }
 
-// NewManager makes the scheduler duty. SetPeers must be called before Run.
+// NewManager returns a manager. SetPeers must be called before Run.
 func NewManager(ctx context.Context, src Sources, policy core.Policy, events *event.Recorder) *Manager {
 	return &Manager{
 		src: src, policy: policy, events: events, ctx: ctx,
-		cells: map[string]*hosted{}, leaving: map[string]bool{},
+		cells: map[string]*hostedCell{}, leaving: map[string]bool{},
 	}
 }
 
-// SetPeers gives the sessions, which are made after the manager that serves
-// their streams.
+// SetPeers sets the manager of the sessions with other hosts. It is created
+// after this manager, which serves streams of those sessions.
 func (m *Manager) SetPeers(p *peer.Manager) { m.src.Peers = p }
 
-// reconcilePeriod bounds how long a missed notification can go unnoticed.
+// reconcilePeriod bounds the delay after a missed notification.
 const reconcilePeriod = 500 * time.Millisecond
 
-// Run follows membership and configuration until ctx ends.
+// Run reconciles the cells with membership and configuration until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	members := m.src.Members.Subscribe()
 	configs := m.src.Config.Subscribe()
@@ -99,7 +102,8 @@
 	}
 }
 
-// reconcile compares the cells that run with those that should.
+// reconcile opens, updates and closes cells as the membership and the
+// configuration in force require.
 func (m *Manager) reconcile() {
 	inForce := m.src.Config.Current()
 	if inForce == nil {
@@ -116,12 +120,12 @@
 		h := m.cells[svc.Name]
 		switch {
 		case ok && home.Incarnation == self:
-			h = m.open(svc.Name)
-			h.lost = time.Time{}
-		case h != nil && h.lost.IsZero():
-			h.lost = time.Now()
+			h = m.openCell(svc.Name)
+			h.lostAt = time.Time{}
+		case h != nil && h.lostAt.IsZero():
+			h.lostAt = time.Now()
 			m.handOver(svc.Name, h, home)
-		case h != nil && time.Since(h.lost) > closeGrace && len(h.linksNow()) == 0:
+		case h != nil && time.Since(h.lostAt) > closeGrace && len(h.connectedHolders()) == 0:
 			m.handOver(svc.Name, h, home)
 			m.closeCell(svc.Name, h)
 			continue
@@ -137,23 +141,23 @@
 	}
 }
 
-// open returns the cell of a service, made when there is none. The caller
-// holds mu.
-func (m *Manager) open(service string) *hosted {
+// openCell returns the cell of a service and creates it if there is none. The
+// caller holds mu.
+func (m *Manager) openCell(service string) *hostedCell {
 	h := m.cells[service]
 	if h == nil {
-		h = &hosted{
+		h = &hostedCell{
 			cell:     newCell(m.ctx, service, m.policy, m.events),
 			watchers: map[string]context.CancelFunc{}, draining: map[string]bool{},
 		}
 		m.cells[service] = h
-		h.cell.done.Go(func() { m.giveOrders(h, service) })
+		h.cell.tasks.Go(func() { m.reconcileServerStates(h, service) })
 		m.events.Record(event.HomeOpened, event.Fields{Service: service})
 	}
 	return h
 }
 
-func (m *Manager) closeCell(service string, h *hosted) {
+func (m *Manager) closeCell(service string, h *hostedCell) {
 	for _, stop := range h.watchers {
 		stop()
 	}
@@ -162,7 +166,8 @@
 	m.events.Record(event.HomeClosed, event.Fields{Service: service})
 }
 
-func (h *hosted) linksNow() []ident.Incarnation {
+// connectedHolders returns the holders that have a stream to the cell.
+func (h *hostedCell) connectedHolders() []ident.Incarnation {
 	var out []ident.Incarnation
 	h.cell.query(func(*core.Cell) {
 		for inc := range h.cell.links {
@@ -172,20 +177,21 @@
 	return out
 }
 
-// update brings a cell to the configuration and the members of now. The
-// caller holds mu.
-func (m *Manager) update(h *hosted, inForce *configsync.InForce, svc *config.Service, all []member.Member) {
+// update applies the current configuration and members to a cell. The caller
+// holds mu.
+func (m *Manager) update(h *hostedCell, inForce *configsync.InForce, svc *config.Service, all []member.Member) {
 	if h.applied != inForce {
 		h.applied = inForce
 		m.configure(h, inForce.Document, svc)
 		m.watchServers(h, svc)
 	}
-	h.cell.tellMembers(all)
+	h.cell.updateMembers(all)
 }
 
-// configure marks every server as leaving that any source says leaves: the
-// configuration, the host list or the server's own report.
-func (m *Manager) configure(h *hosted, doc *config.Document, svc *config.Service) {
+// configure sends a cell its configuration. It marks a server as leaving when
+// any source reports that: the configuration, the host list or the server
+// itself.
+func (m *Manager) configure(h *hostedCell, doc *config.Document, svc *config.Service) {
 	marked := *svc
 	marked.BackendServers = append([]config.BackendServer(nil), svc.BackendServers...)
 	for i := range marked.BackendServers {
@@ -197,7 +203,8 @@
 	h.cell.configure(doc, &marked)
 }
 
-// SetLeavingServers takes the host list's word on leaving backend servers.
+// SetLeavingServers sets the addresses of the backend servers that are leaving
+// according to the host list.
 func (m *Manager) SetLeavingServers(addresses map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,6 +215,7 @@
 	m.reconfigureAll()
 }
 
+// setDraining records whether a server reports that it is draining.
 func (m *Manager) setDraining(service, address string, draining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -223,7 +231,7 @@
 	m.reconfigureAll()
 }
 
-// reconfigureAll gives every cell its servers again. The caller holds mu.
+// reconfigureAll sends every cell its configuration again. The caller holds mu.
 func (m *Manager) reconfigureAll() {
 	for name, h := range m.cells {
 		if h.applied == nil {
@@ -247,8 +255,8 @@
 	return true
 }
 
-// ServeCell serves a holder's stream. The cell is opened when the holder
-// believes earlier than this host that its home is here.
+// ServeCell serves a holder's stream. It opens the cell if needed, because a
+// holder may detect earlier than this host that this host became the home.
 func (m *Manager) ServeCell(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
 	inForce := m.src.Config.Current()
@@ -262,19 +270,21 @@
 	m.mu.Lock()
 	h := m.cells[svc.Name]
 	if h == nil {
-		h = m.open(svc.Name)
+		h = m.openCell(svc.Name)
 		m.update(h, inForce, svc, m.src.Members.All())
 	}
 	m.mu.Unlock()
 	h.cell.serveLink(st)
 }
 
-// handOver sends the ledger of a cell to its new home.
-func (m *Manager) handOver(service string, h *hosted, to member.Member) {
+// handOver sends the ledger of a cell, its list of requests and their states, to
+// the new home. It also lists the covered holders: ended ones of which the
+// ledger lacks no request.
+func (m *Manager) handOver(service string, h *hostedCell, to member.Member) {
 	if to.Incarnation == 0 {
 		return
 	}
-	h.cell.done.Go(func() {
+	h.cell.tasks.Go(func() {
 		var ledger core.Inherit
 		if !h.cell.query(func(c *core.Cell) { ledger = c.Handover() }) {
 			return
@@ -289,7 +299,7 @@
 		target := peer.Target{Address: to.ControlAddress, Incarnation: to.Incarnation}
 		st, err := m.src.Peers.OpenStream(m.ctx, target, wire.StreamKind_STREAM_HANDOVER, service)
 		if err != nil {
-			return // the new home rebuilds from the holders' reports
+			return // the new home rebuilds the ledger from the holders' reports
 		}
 		defer func() { _ = st.Close() }()
 		if wire.Write(st, msg) == nil && wire.Read(st.R, &wire.HandoverNoted{}) == nil {
@@ -298,7 +308,7 @@
 	})
 }
 
-// ServeHandover takes the ledger of another home.
+// ServeHandover receives the ledger of the previous home.
 func (m *Manager) ServeHandover(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
 	var msg wire.Handover
@@ -322,7 +332,7 @@
 	_ = wire.Write(st, &wire.HandoverNoted{Taken: h != nil})
 }
 
-// Status describes one cell for operators.
+// Status is the status of one cell for operators.
 type Status struct {
 	Service string              `json:"service"`
 	Ours    bool                `json:"ours"`
@@ -332,17 +342,17 @@
 	Servers []core.ServerStatus `json:"servers"`
 }
 
-// Status lists the cells of this host.
+// Status returns the status of all cells of this host.
 func (m *Manager) Status() []Status {
 	m.mu.Lock()
-	cells := make(map[string]*hosted, len(m.cells))
+	cells := make(map[string]*hostedCell, len(m.cells))
 	for k, v := range m.cells {
 		cells[k] = v
 	}
 	m.mu.Unlock()
 	var out []Status
 	for name, h := range cells {
-		s := Status{Service: name, Ours: h.lost.IsZero()}
+		s := Status{Service: name, Ours: h.lostAt.IsZero()}
 		if h.cell.query(func(c *core.Cell) {
 			s.Holders, s.Running, s.Tiers, s.Servers = len(h.cell.links), c.Running(), c.Tiers(), c.Servers()
 		}) {
--- a/internal/home/orders.go
+++ b/internal/home/orders.go
@@ -8,30 +8,31 @@
 	"github.com/gentianflow/gentianflow/internal/order"
 )
 
-// giveOrders brings the servers of a cell to the states that the inventory
-// wants, while this host is the home. A home that lost its place goes on
-// until its cell closes; the lease keeps two from ordering at once.
-func (m *Manager) giveOrders(h *hosted, service string) {
+// reconcileServerStates orders the servers of a cell into the states that the
+// inventory requires, while this host is the home. It runs until the cell
+// closes, which is some time after another host has become the home; the lease
+// prevents two hosts from ordering at the same time.
+func (m *Manager) reconcileServerStates(h *hostedCell, service string) {
 	self := m.src.Members.Self().Incarnation
-	giver := order.NewGiver(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
+	reconciler := order.NewGiver(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
 	tick := time.NewTicker(order.Period)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			giver.Round(h.cell.ctx, m.wishes(h, service))
+			reconciler.Round(h.cell.ctx, m.desiredStates(h, service))
 		case <-h.cell.ctx.Done():
 			return
 		}
 	}
 }
 
-// wishes lists the servers for which the inventory wants a state; none when
-// another host is the home.
-func (m *Manager) wishes(h *hosted, service string) []order.Wish {
+// desiredStates returns the servers for which the inventory sets a state, and
+// none when another host is the home.
+func (m *Manager) desiredStates(h *hostedCell, service string) []order.Wish {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if h.applied == nil || !h.lost.IsZero() {
+	if h.applied == nil || !h.lostAt.IsZero() {
 		return nil
 	}
 	svc, ok := h.applied.Document.Service(service)
--- a/internal/home/watch.go
+++ b/internal/home/watch.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	watchPeriod = 1 * time.Second
-	// failedWatches is how many reports in a row must fail before the home
-	// stops granting to a server.
-	failedWatches = 2
+	pollPeriod = 1 * time.Second
+	// failureThreshold is how many consecutive reads of the load report must
+	// fail before the home stops granting to a server.
+	failureThreshold = 2
 )
 
-// watchServers starts a watcher for each server of the inventory and stops
-// those of removed ones. The caller holds Manager.mu.
-func (m *Manager) watchServers(h *hosted, svc *config.Service) {
+// watchServers starts a watcher for each new server of the inventory and stops
+// those of removed servers. The caller holds Manager.mu.
+func (m *Manager) watchServers(h *hostedCell, svc *config.Service) {
 	wanted := map[string]bool{}
 	for _, b := range svc.BackendServers {
 		wanted[b.Address] = true
@@ -29,11 +29,11 @@
 		}
 		ctx, stop := context.WithCancel(h.cell.ctx)
 		h.watchers[b.Address] = stop
-		w := &serverWatch{
+		w := &serverWatcher{
 			manager: m, cell: h.cell, server: b, plain: svc.Kind == config.PlainService,
 			reports: backend.NewWatcher(b.Address, m.src.Watch),
 		}
-		h.cell.done.Go(func() { w.run(ctx) })
+		h.cell.tasks.Go(func() { w.run(ctx) })
 	}
 	for address, stop := range h.watchers {
 		if !wanted[address] {
@@ -43,26 +43,26 @@
 	}
 }
 
-// serverWatch reads the load reports and cache events of one server and
-// feeds them to the cell. Its goroutine owns all fields.
-type serverWatch struct {
+// serverWatcher polls the load reports and cache events of one server and sends
+// them to the cell. Its goroutine owns all fields.
+type serverWatcher struct {
 	manager     *Manager
 	cell        *cell
 	server      config.BackendServer
 	plain       bool
 	reports     *backend.Watcher
-	failed      int
+	failures    int
 	incarnation string
-	lastEvent   uint64
+	lastSeq     uint64
 }
 
-func (w *serverWatch) run(ctx context.Context) {
-	tick := time.NewTicker(watchPeriod)
+func (w *serverWatcher) run(ctx context.Context) {
+	tick := time.NewTicker(pollPeriod)
 	defer tick.Stop()
 	for {
-		w.load(ctx)
-		if !w.plain && w.failed == 0 {
-			w.cacheEvents(ctx)
+		w.pollLoad(ctx)
+		if !w.plain && w.failures == 0 {
+			w.pollCacheEvents(ctx)
 		}
 		select {
 		case <-tick.C:
@@ -72,51 +72,51 @@
 	}
 }
 
-func (w *serverWatch) id() ident.ServerID { return ident.Server(w.server.Name) }
+func (w *serverWatcher) id() ident.ServerID { return ident.Server(w.server.Name) }
 
-func (w *serverWatch) load(ctx context.Context) {
+func (w *serverWatcher) pollLoad(ctx context.Context) {
 	l, err := w.reports.Load(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		w.fail(err)
+		w.recordFailure(err)
 		return
 	}
-	w.failed = 0
+	w.failures = 0
 	if w.incarnation != "" && w.incarnation != l.Incarnation {
-		w.restarted()
+		w.handleRestart()
 	}
 	w.incarnation = l.Incarnation
 	w.manager.setDraining(w.cell.service, w.server.Address, l.Draining)
 	w.cell.push(input{event: core.LoadReport{Server: w.id(), Age: l.Age(), Running: l.Running}})
 }
 
-func (w *serverWatch) fail(err error) {
-	w.failed++
-	if w.failed != failedWatches {
+func (w *serverWatcher) recordFailure(err error) {
+	w.failures++
+	if w.failures != failureThreshold {
 		return
 	}
 	w.manager.events.Record(event.ServerUnreachable, event.Fields{Service: w.cell.service, Server: w.server.Name, Detail: err.Error()})
 	w.cell.push(input{event: core.ServerSignal{Server: w.id(), Signal: core.SignalFail}})
 }
 
-// restarted tells the cell that the server's cache and streams are gone
-// although its address is not.
-func (w *serverWatch) restarted() {
-	w.lastEvent = 0
+// handleRestart informs the cell that the server lost its cache and streams,
+// although its address still answers.
+func (w *serverWatcher) handleRestart() {
+	w.lastSeq = 0
 	w.manager.events.Record(event.ServerRestarted, event.Fields{Service: w.cell.service, Server: w.server.Name})
 	w.cell.push(input{event: core.ServerRestarted{Server: w.id()}})
 }
 
-func (w *serverWatch) cacheEvents(ctx context.Context) {
-	page, err := w.reports.CacheEvents(ctx, w.lastEvent)
+func (w *serverWatcher) pollCacheEvents(ctx context.Context) {
+	page, err := w.reports.CacheEvents(ctx, w.lastSeq)
 	if err != nil || len(page.Events) == 0 {
 		return
 	}
-	first := w.lastEvent == 0
-	stored, evicted, newest, gap, age := page.Keys(w.lastEvent)
-	w.lastEvent = newest
+	first := w.lastSeq == 0
+	stored, evicted, newest, gap, age := page.Keys(w.lastSeq)
+	w.lastSeq = newest
 	if gap && !first {
 		w.manager.events.Record(event.ServerCacheGap, event.Fields{Service: w.cell.service, Server: w.server.Name})
 	}
