--- a/internal/cellwire/holder.go
+++ b/internal/cellwire/holder.go
@@ -1,5 +1,7 @@
-// Package cellwire translates between the wire frames of a cell stream and
-// the events and actions of package core.
+// Package cellwire translates between the frames of a cell stream and the
+// events and actions of package core. A cell is the queue and scheduler of one
+// service. A cell stream connects a holder (the entry host that received a
+// request) to the home of a service (the host that runs the scheduler).
 package cellwire
 
 import (
@@ -12,9 +14,9 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Event turns a holder's frame into an event of the core. now is the home's
-// clock. Frames that only concern the stream give nil. A frame that no home
-// understands fails with BadFrame.
+// Event converts a frame from a holder into a core event. now is the home's
+// clock, to which deadlines are converted. A frame of a type that is not sent
+// to a home fails with BadFrame.
 func Event(f *wire.Frame, holder ident.Incarnation, now core.Time) (core.Event, error) {
 	switch b := f.Body.(type) {
 	case *wire.Frame_Heard:
@@ -39,7 +41,7 @@
 	case *wire.Frame_Left:
 		return core.Left{Holder: holder}, nil
 	}
-	return nil, failure.New(failure.BadFrame, "frame %T is not for a home", f.Body)
+	return nil, failure.New(failure.BadFrame, "unexpected frame %T from a holder", f.Body)
 }
 
 func register(r *wire.Register, holder ident.Incarnation, now core.Time) (core.Event, error) {
@@ -88,8 +90,8 @@
 
 func micros(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// RegisterFrame builds the frame that registers a request; left is the time
-// to its deadline.
+// RegisterFrame returns the frame that registers a request. left is the time
+// until its deadline.
 func RegisterFrame(r *core.Request, left time.Duration) *wire.Frame {
 	msg := &wire.Register{
 		Id: r.ID[:], Attempt: r.Attempt, Account: uint32(r.Account), Tier: uint32(r.Tier),
@@ -103,7 +105,7 @@
 	return &wire.Frame{Body: &wire.Frame_Register{Register: msg}}
 }
 
-// FinishedFrame builds the frame that ends a dispatched request.
+// FinishedFrame returns the frame that reports the end of a dispatched request.
 func FinishedFrame(f core.Finished) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Finished{Finished: &wire.Finished{
 		Id: f.ID[:], PromptTokens: uint32(f.PromptTokens), OutputTokens: uint32(f.OutputTokens),
@@ -111,9 +113,11 @@
 	}}}
 }
 
+// maxMicros is the largest duration in µs that fits into a uint32 field.
 const maxMicros = 1<<32 - 1
 
-// Line turns a ledger entry into its wire form, and Entry back.
+// Line converts a ledger entry into its wire form. A ledger lists the requests
+// of a holder or a home and their states.
 func Line(e core.LedgerEntry) *wire.LedgerLine {
 	return &wire.LedgerLine{
 		Id: e.ID[:], Holder: uint64(e.Holder), Server: uint32(e.Server), State: uint32(e.State),
@@ -121,14 +125,15 @@
 	}
 }
 
-// Entry reads a ledger line.
+// Entry converts a ledger line into a ledger entry. It fails with BadFrame for
+// an invalid id or state.
 func Entry(l *wire.LedgerLine) (core.LedgerEntry, error) {
 	id, err := ident.FromBytes(l.GetId())
 	if err != nil {
 		return core.LedgerEntry{}, err
 	}
 	if l.GetState() > uint32(core.LedgerDone) {
-		return core.LedgerEntry{}, failure.New(failure.BadFrame, "ledger state %d", l.GetState())
+		return core.LedgerEntry{}, failure.New(failure.BadFrame, "invalid ledger state %d", l.GetState())
 	}
 	return core.LedgerEntry{
 		ID: id, Holder: ident.Incarnation(l.GetHolder()), Server: ident.ServerID(l.GetServer()),
@@ -136,7 +141,7 @@
 	}, nil
 }
 
-// Entries reads many ledger lines.
+// Entries converts ledger lines; it fails at the first invalid one.
 func Entries(lines []*wire.LedgerLine) ([]core.LedgerEntry, error) {
 	out := make([]core.LedgerEntry, 0, len(lines))
 	for _, l := range lines {
--- a/internal/cellwire/home.go
+++ b/internal/cellwire/home.go
@@ -9,8 +9,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Frame turns an action for a holder into its frame, nil for actions that
-// are only news for the log.
+// Frame converts an action for a holder into its frame. It returns nil for
+// actions that are only logged.
 func Frame(a core.Action) *wire.Frame {
 	switch a.Kind {
 	case core.Grant:
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// Action reads a home's frame. Frames that only concern the stream, and
-// frames that no holder understands, fail with BadFrame.
+// Action converts a frame from a home into an action. Frames that only concern
+// the stream, such as echoes, and frames of a type that is not sent to a holder
+// fail with BadFrame.
 func Action(f *wire.Frame) (core.Action, error) {
 	var a core.Action
 	var raw []byte
@@ -52,7 +53,7 @@
 		raw = b.Unproved.GetId()
 		a = core.Action{Kind: core.Unproved, Reason: failure.Code(b.Unproved.GetReason())}
 	default:
-		return a, failure.New(failure.BadFrame, "frame %T is not for a holder", f.Body)
+		return a, failure.New(failure.BadFrame, "unexpected frame %T from a home", f.Body)
 	}
 	id, err := ident.FromBytes(raw)
 	a.ID = id
