--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend speaks to backend servers: model engines, which stream
-// tokens and can resume a stream, and plain services, which answer a call.
-// Each kind has one adapter.
+// Package backend contains the HTTP clients for backend servers. There are two
+// kinds of servers, each with one adapter: model engines, which stream tokens
+// and can resume a stream, and plain services, which send one complete answer.
 package backend
 
 import (
@@ -18,30 +18,33 @@
 	Path        string
 	ContentType string
 	Body        []byte
-	// Allowed is asked with the connection open, right before the first byte, whether the call
-	// may still be sent; nil: it may. A call that may not fails with NoServer.
+	// Allowed reports whether the call may still be sent; nil means that it
+	// may. It is called once the connection is open, right before the first
+	// byte. If it returns false, Send fails with NoServer.
 	Allowed func() bool
 }
 
-// Part is one event of a model engine's stream. Index counts them from 0.
+// Part is one event of a model engine's stream, or the whole answer of a plain
+// service. Index counts the parts from 0.
 type Part struct {
 	Index int
 	Data  []byte
 }
 
-// Usage is what the server says it computed.
+// Usage is the work that the server reports for a request.
 type Usage struct {
-	PromptTokens int // computed; cached ones left out
+	PromptTokens int // computed; without cached ones
 	CachedTokens int
 	OutputTokens int
 	// Checksum is the server's xxh64 over the data of all parts, in hex; empty
-	// when the server gives none. The holder compares it with what it has,
-	// so an answer put together over several connections is checked too.
+	// when the server sends none. The holder compares it with its own, which
+	// also verifies an answer that was assembled over several connections.
 	Checksum string
 }
 
-// Sink takes an answer while it arrives. Begin comes first and once for each
-// connection; Part returns false for a part that does not follow the last.
+// Sink receives an answer while it arrives. Begin is called first, once for
+// each connection. Part returns false for a part that does not follow the
+// previous one.
 type Sink interface {
 	Begin(status int, contentType string)
 	Part(p Part) bool
@@ -49,30 +52,34 @@
 
 // Server is one backend server.
 type Server interface {
-	// Send dispatches a call and feeds the whole answer to sink. It fails
-	// with NoServer when nothing was written (not dispatched), and with
-	// ServerLost when the answer broke off (dispatched).
+	// Send dispatches a call and passes the answer to sink. It fails with
+	// NoServer when nothing was written (not dispatched), and with ServerLost
+	// when the connection broke before the end of the answer (dispatched).
 	Send(ctx context.Context, call Call, sink Sink) (Usage, error)
-	// Resume continues the answer of an id from an index on a new connection.
-	// It fails with UnknownRequest when the server does not know the id.
+	// Resume continues the answer to a request on a new connection, starting
+	// with part index from. It fails with UnknownRequest when the server does
+	// not know the id.
 	Resume(ctx context.Context, id ident.RequestID, from int, sink Sink) (Usage, error)
-	// Cancel stops an id; work on it ends.
+	// Cancel stops the work on a request.
 	Cancel(ctx context.Context, id ident.RequestID) error
 }
 
-// SilenceLimit is how long a stream may carry nothing before it is resumed
-// on a new connection.
-const SilenceLimit = 2 * time.Second
+// StreamIdleTimeout is how long a stream may be idle before it is cancelled. The
+// caller then resumes it on a new connection.
+const StreamIdleTimeout = 2 * time.Second
 
 const connectTimeout = 500 * time.Millisecond
 
-// NotDispatched reports whether a failed Send provably wrote nothing.
+// NotDispatched reports whether the error of a failed Send proves that nothing
+// was written.
 func NotDispatched(err error) bool { return failure.Is(err, failure.NoServer) }
 
-// Factory makes the adapter of a server at an address.
+// Factory returns the adapter for a server at an address; plain selects the
+// adapter for plain services.
 type Factory func(address string, plain bool) Server
 
-// NewFactory returns the factory for HTTP; all servers share one transport.
+// NewFactory returns a factory and the HTTP transport that all its servers
+// share.
 func NewFactory() (Factory, *http.Transport) {
 	t := newTransport()
 	return func(address string, plain bool) Server {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -75,29 +75,29 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// stream writes server-sent events as an engine does.
+// stream returns an engine's answer with the given server-sent events.
 func stream(events ...string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n" + strings.Join(events, "\n\n") + "\n\n"
 }
 
-type keep struct{ parts []string }
+type recordingSink struct{ parts []string }
 
-func (k *keep) Begin(int, string) {}
+func (s *recordingSink) Begin(int, string) {}
 
-func (k *keep) Part(p backend.Part) bool {
-	if p.Index != len(k.parts) {
+func (s *recordingSink) Part(p backend.Part) bool {
+	if p.Index != len(s.parts) {
 		return false
 	}
-	k.parts = append(k.parts, string(p.Data))
+	s.parts = append(s.parts, string(p.Data))
 	return true
 }
 
 var _ = Describe("a dispatch", func() {
 	call := backend.Call{ID: ident.RequestID{1}, Path: "/pickup", ContentType: "application/json", Body: []byte(`{}`)}
 
-	// Story: the server reads a pickup confirmation from a kept connection and
-	// closes without an answer. The family's coat is handed out twice. Cause:
-	// net/http sends a request again by itself when it thinks it may.
+	// net/http itself retries a request that it considers safe to repeat. If the
+	// server reads a non-idempotent request from a reused connection and closes
+	// it without an answer, such a retry would run the request twice.
 	It("is never repeated by the transport", func() {
 		address, seen := rawServer(func(n int64) string {
 			if n == 1 {
@@ -105,26 +105,26 @@
 			}
 			return ""
 		})
-		make, transport := backend.NewFactory()
+		newServer, transport := backend.NewFactory()
 		DeferCleanup(transport.CloseIdleConnections)
-		srv := make(address, true)
-		_, err := srv.Send(context.Background(), call, &keep{})
+		srv := newServer(address, true)
+		_, err := srv.Send(context.Background(), call, &recordingSink{})
 		Expect(err).NotTo(HaveOccurred())
-		_, err = srv.Send(context.Background(), call, &keep{})
+		_, err = srv.Send(context.Background(), call, &recordingSink{})
 		Expect(failure.Is(err, failure.ServerLost)).To(BeTrue(), "a byte was written: it may have run")
 		Expect(backend.NotDispatched(err)).To(BeFalse())
 		Expect(seen.Load()).To(Equal(int64(2)))
 	})
 
-	// Guards against a holder that was paused while it connected and sends on a grant that has
-	// lapsed.
-	It("that may not be sent any more when the connection stands was not dispatched", func() {
+	// A holder that is paused while it connects must not send after its grant has
+	// expired.
+	It("that may no longer be sent once the connection is open was not dispatched", func() {
 		address, seen := rawServer(func(int64) string { return "" })
-		make, _ := backend.NewFactory()
+		newServer, _ := backend.NewFactory()
 		for _, plain := range []bool{true, false} {
 			late := call
 			late.Allowed = func() bool { return false }
-			_, err := make(address, plain).Send(context.Background(), late, &keep{})
+			_, err := newServer(address, plain).Send(context.Background(), late, &recordingSink{})
 			Expect(backend.NotDispatched(err)).To(BeTrue())
 		}
 		Expect(seen.Load()).To(BeZero())
@@ -135,31 +135,31 @@
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
 		Expect(l.Close()).To(Succeed())
-		make, _ := backend.NewFactory()
-		_, err = make(address, true).Send(context.Background(), call, &keep{})
+		newServer, _ := backend.NewFactory()
+		_, err = newServer(address, true).Send(context.Background(), call, &recordingSink{})
 		Expect(backend.NotDispatched(err)).To(BeTrue())
 	})
 })
 
 var _ = Describe("a model engine's stream", func() {
 	id := ident.RequestID{1}
-	send := func(text string) (*keep, error) {
+	send := func(text string) (*recordingSink, error) {
 		address, _ := rawServer(func(int64) string { return text })
-		make, _ := backend.NewFactory()
-		k := &keep{}
-		_, err := make(address, false).Send(context.Background(), backend.Call{ID: id, Path: "/v1/completions", Body: []byte(`{}`)}, k)
-		return k, err
+		newServer, _ := backend.NewFactory()
+		sink := &recordingSink{}
+		_, err := newServer(address, false).Send(context.Background(), backend.Call{ID: id, Path: "/v1/completions", Body: []byte(`{}`)}, sink)
+		return sink, err
 	}
 	part := func(owner ident.RequestID, i int) string { return fmt.Sprintf("id: %s:%d\ndata: p%d", owner, i, i) }
 
 	It("is whole with its end mark", func() {
-		k, err := send(stream(part(id, 0), ": waiting", part(id, 1), "event: end\ndata: {\"parts\":2}"))
+		sink, err := send(stream(part(id, 0), ": waiting", part(id, 1), "event: end\ndata: {\"parts\":2}"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(k.parts).To(Equal([]string{"p0", "p1"}))
+		Expect(sink.parts).To(Equal([]string{"p0", "p1"}))
 	})
 
-	// Story: a poet reads half of someone else's gloss. Cause: an engine or a
-	// middle box mixed two streams up.
+	// An engine or a middlebox may mix up two streams. The caller must not
+	// receive a part of another caller's answer.
 	DescribeTable("is not whole", func(events ...string) {
 		_, err := send(stream(events...))
 		Expect(failure.Is(err, failure.ServerLost)).To(BeTrue())
--- a/internal/backend/model.go
+++ b/internal/backend/model.go
@@ -15,16 +15,17 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Headers of the engine protocol.
+// Header name and limit of the engine protocol.
 const (
-	headerRequestID = "X-Request-Id"
-	maxEventLine    = 1 << 20
+	headerRequestID   = "X-Request-Id"
+	maxEventLineBytes = 1 << 20
 )
 
-// modelServer speaks to a model engine: OpenAI-style calls answered with
-// server-sent events. Each event's id is "<request id>:<index>", so a part of
-// another answer is noticed; an event named "end" closes the stream with the
-// number of parts, their checksum and the usage.
+// modelServer is the client for a model engine: OpenAI-style calls that are
+// answered with server-sent events. Each event's id is "<request id>:<index>",
+// so that a part of another answer is detected. An event named "end" (the end
+// mark) closes the stream with the number of parts, their checksum and the
+// usage.
 type modelServer struct {
 	base string
 	http http.RoundTripper
@@ -46,13 +47,13 @@
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	header.Set(headerRequestID, call.ID.String())
-	quiet := newSilence(cancel)
-	defer quiet.stop()
+	idle := newIdleTimer(cancel)
+	defer idle.stop()
 	resp, err := dispatch(ctx, m.http, m.base+call.Path, call, header)
 	if err != nil {
 		return Usage{}, err
 	}
-	return m.stream(resp, call.ID, 0, sink, quiet)
+	return m.stream(resp, call.ID, 0, sink, idle)
 }
 
 // Resume implements Server. A GET of a stream has no effect at the engine,
@@ -60,8 +61,8 @@
 func (m *modelServer) Resume(ctx context.Context, id ident.RequestID, from int, sink Sink) (Usage, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := newSilence(cancel)
-	defer quiet.stop()
+	idle := newIdleTimer(cancel)
+	defer idle.stop()
 	url := fmt.Sprintf("%s/v1/streams/%s?from=%d", m.base, id, from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -75,7 +76,7 @@
 		_ = resp.Body.Close()
 		return Usage{}, failure.New(failure.UnknownRequest, "server does not know %s", id)
 	}
-	return m.stream(resp, id, from, sink, quiet)
+	return m.stream(resp, id, from, sink, idle)
 }
 
 // Cancel implements Server.
@@ -96,11 +97,11 @@
 	name, id, data string
 }
 
-// stream reads events into sink until the end mark.
-func (m *modelServer) stream(resp *http.Response, id ident.RequestID, from int, sink Sink, quiet *silence) (Usage, error) {
+// stream passes events to sink until the end mark.
+func (m *modelServer) stream(resp *http.Response, id ident.RequestID, from int, sink Sink, idle *idleTimer) (Usage, error) {
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxEventLine))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxEventLineBytes))
 		return Usage{}, failure.New(failure.ServerError, "server answered %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
 	}
 	sink.Begin(resp.StatusCode, resp.Header.Get("Content-Type"))
@@ -111,7 +112,7 @@
 		if err != nil {
 			return Usage{}, failure.Wrap(failure.ServerLost, err, "stream of %s broke off at part %d", id, next)
 		}
-		quiet.heard()
+		idle.reset()
 		if ev.name == "end" {
 			return readEnd(ev, next)
 		}
@@ -123,7 +124,7 @@
 	}
 }
 
-// readEnd checks the end mark's count of parts.
+// readEnd decodes the end mark and checks its number of parts.
 func readEnd(ev sseEvent, arrived int) (Usage, error) {
 	var mark endMark
 	if err := json.Unmarshal([]byte(ev.data), &mark); err != nil {
@@ -138,6 +139,8 @@
 	}, nil
 }
 
+// partIndex parses an event id. It reports false for a malformed id and for a
+// part of another request.
 func partIndex(eventID string, id ident.RequestID) (int, bool) {
 	owner, index, found := strings.Cut(eventID, ":")
 	if !found || owner != id.String() {
@@ -147,7 +150,7 @@
 	return n, err == nil
 }
 
-// readEvent reads one event; comments between events are skipped.
+// readEvent reads one server-sent event and skips comments.
 func readEvent(r *bufio.Reader) (sseEvent, error) {
 	var ev sseEvent
 	for {
@@ -182,8 +185,8 @@
 			return "", err
 		}
 		line = append(line, part...)
-		if len(line) > maxEventLine {
-			return "", failure.New(failure.BadFrame, "event line over %d bytes", maxEventLine)
+		if len(line) > maxEventLineBytes {
+			return "", failure.New(failure.BadFrame, "event line over %d bytes", maxEventLineBytes)
 		}
 		if !more {
 			return string(line), nil
@@ -191,17 +194,18 @@
 	}
 }
 
-// silence cancels a request whose stream carries nothing for SilenceLimit.
+// idleTimer cancels a request whose stream carries no event for
+// StreamIdleTimeout.
 //
-// Guard: a connection that something in between lost track of stays open and
-// silent for good, and a read on it never returns. The timer ends it, and the
-// caller resumes the stream on a new connection.
-type silence struct{ timer *time.Timer }
+// A connection whose state a middlebox has lost stays open without traffic, and
+// a read on it never returns. The timer ends the read, and the caller resumes
+// the stream on a new connection.
+type idleTimer struct{ timer *time.Timer }
 
-func newSilence(cancel context.CancelFunc) *silence {
-	return &silence{timer: time.AfterFunc(SilenceLimit, cancel)}
+func newIdleTimer(cancel context.CancelFunc) *idleTimer {
+	return &idleTimer{timer: time.AfterFunc(StreamIdleTimeout, cancel)}
 }
 
-func (s *silence) heard() { s.timer.Reset(SilenceLimit) }
+func (t *idleTimer) reset() { t.timer.Reset(StreamIdleTimeout) }
 
-func (s *silence) stop() { s.timer.Stop() }
+func (t *idleTimer) stop() { t.timer.Stop() }
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -10,11 +10,11 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Orderer speaks the order side of a model engine. It implements
-// order.Orderer.
+// Orderer reads and sets the state of a model engine: its models, adapters,
+// versions and role. It implements order.Orderer.
 type Orderer struct{ w *Watcher }
 
-// NewOrderer makes an orderer over a shared transport.
+// NewOrderer returns an orderer that uses a shared transport.
 func NewOrderer(address string, t http.RoundTripper) *Orderer {
 	return &Orderer{w: NewWatcher(address, t)}
 }
@@ -24,14 +24,15 @@
 	State string `json:"state"`
 }
 
-// State reads the state that the server is in.
+// State reads the server's current state.
 func (o *Orderer) State(ctx context.Context) (string, error) {
 	var b orderBody
 	err := o.w.get(ctx, "/v1/state", &b)
 	return b.State, err
 }
 
-// Order asks for a state under a fencing number.
+// Order orders the server into a state, under a fencing number. It fails with
+// StaleFence when the server has seen a higher number.
 func (o *Orderer) Order(ctx context.Context, fence uint64, state string) error {
 	text, err := json.Marshal(orderBody{Fence: fence, State: state})
 	if err != nil {
--- a/internal/backend/plain.go
+++ b/internal/backend/plain.go
@@ -9,11 +9,12 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// maxPlainAnswer bounds the answer of a plain service in bytes.
-const maxPlainAnswer = 8 << 20
+// maxPlainAnswerBytes is the maximum size of a plain service's answer.
+const maxPlainAnswerBytes = 8 << 20
 
-// plainServer speaks to a plain service: one POST, one answer. It can neither
-// resume nor cancel, so an answer that broke off stays unknown.
+// plainServer is the client for a plain service: one POST, one answer. It can
+// neither resume nor cancel, so the outcome of a request whose answer broke off
+// stays unknown.
 type plainServer struct {
 	base string
 	http http.RoundTripper
@@ -29,12 +30,12 @@
 		return Usage{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswerBytes+1))
 	if err != nil {
 		return Usage{}, failure.Wrap(failure.ServerLost, err, "answer broke off")
 	}
-	if len(body) > maxPlainAnswer {
-		return Usage{}, failure.New(failure.ServerError, "answer over %d bytes", maxPlainAnswer)
+	if len(body) > maxPlainAnswerBytes {
+		return Usage{}, failure.New(failure.ServerError, "answer over %d bytes", maxPlainAnswerBytes)
 	}
 	sink.Begin(resp.StatusCode, resp.Header.Get("Content-Type"))
 	if !sink.Part(Part{Index: 0, Data: body}) {
--- a/internal/backend/transport.go
+++ b/internal/backend/transport.go
@@ -12,17 +12,17 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// countedConn counts the bytes that were handed to the socket, so that a
-// failed request can be told from a dispatched one.
-type countedConn struct {
+// countingConn counts the bytes that were passed to the socket. Without any, a
+// failed request was not dispatched.
+type countingConn struct {
 	net.Conn
 	written atomic.Int64
-	allowed func() bool // asked before the first byte, nil: it may be written
+	allowed func() bool // called before the first byte; nil allows the write
 }
 
-var errNotAllowed = failure.New(failure.NoServer, "it may not be sent any more")
+var errNotAllowed = failure.New(failure.NoServer, "the call may no longer be sent")
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	if c.written.Load() == 0 && c.allowed != nil && !c.allowed() {
 		return 0, errNotAllowed
 	}
@@ -30,12 +30,12 @@
 	return c.Conn.Write(b)
 }
 
-// newTransport makes one connection for each exchange.
+// newTransport returns a transport that opens a new connection for each request.
 //
-// Guard: a kept connection that something in between forgot takes a request
-// and carries it nowhere; the server never learns of it, and since bytes were
-// written the caller can only be told unknown. A new connection has just
-// shown that it works, for the price of one round trip.
+// A reused connection whose state a middlebox has lost accepts a request but
+// does not deliver it. Since bytes were written, the caller can only be told
+// that the outcome is unknown. A new connection has just proved that it works,
+// at the cost of one round trip.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	return &http.Transport{
@@ -46,18 +46,20 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 	}
 }
 
-// dispatch is the one place that sends a request to a backend server.
+// dispatch is the only function that sends a request for execution to a backend
+// server.
 //
-// Guard: net/http repeats a request by itself after a broken connection when
-// it believes that this is safe: for GET and like methods, and for any method
-// with an Idempotency-Key header, if the body can be had again. A repeated
-// request would run twice with nobody knowing. So requests are POSTs, the
-// body is a reader without GetBody, and callers' headers are not passed on.
+// After a broken connection, net/http itself retries requests that it considers
+// safe to repeat: those with GET and similar methods, and with any method if
+// there is an Idempotency-Key header, provided that the body can be read again.
+// Such a retry could run a request twice without being noticed. Therefore
+// requests are POSTs, the body is a reader without GetBody, and callers' headers
+// are not forwarded.
 func dispatch(ctx context.Context, t http.RoundTripper, url string, call Call, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(call.Body)))
 	if err != nil {
@@ -65,11 +67,11 @@
 	}
 	req.ContentLength = int64(len(call.Body))
 	req.Header = header
-	var conn *countedConn
-	var before int64
+	var conn *countingConn
+	var writtenBefore int64
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if c, ok := info.Conn.(*countedConn); ok {
-			conn, before = c, c.written.Load()
+		if c, ok := info.Conn.(*countingConn); ok {
+			conn, writtenBefore = c, c.written.Load()
 			c.allowed = call.Allowed
 		}
 	}}
@@ -77,7 +79,7 @@
 	if err == nil {
 		return resp, nil
 	}
-	if conn == nil || conn.written.Load() == before {
+	if conn == nil || conn.written.Load() == writtenBefore {
 		return nil, failure.Wrap(failure.NoServer, err, "nothing was written")
 	}
 	return nil, failure.Wrap(failure.ServerLost, err, "request was written")
--- a/internal/backend/watch.go
+++ b/internal/backend/watch.go
@@ -13,7 +13,7 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// Load is a server's own report. Age is how old the server says it is.
+// Load is a server's load report. AgeMillis is its age as stated by the server.
 type Load struct {
 	Incarnation string `json:"incarnation"`
 	Running     int    `json:"running"`
@@ -21,11 +21,11 @@
 	Draining    bool   `json:"draining"`
 }
 
-// Age returns how old the report was when it was sent.
+// Age returns the age of the report when it was sent.
 func (l Load) Age() time.Duration { return time.Duration(l.AgeMillis) * time.Millisecond }
 
-// CacheEvent says that a server stored or evicted a prefix. Sequence numbers
-// have no holes unless events were lost.
+// CacheEvent reports that a server stored a prompt prefix in its KV cache or
+// evicted it. Sequence numbers are consecutive unless events were lost.
 type CacheEvent struct {
 	Seq       uint64 `json:"seq"`
 	Key       uint64 `json:"key"`
@@ -38,8 +38,9 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Keys splits a page into stored and evicted keys and reports whether events
-// before or within it are missing, given the last sequence number seen.
+// Keys returns the stored and evicted keys of a page, its newest sequence number
+// and the age of its oldest event. gap reports whether events before or within
+// the page are missing; last is the last sequence number seen before.
 func (p CachePage) Keys(last uint64) (stored, evicted []prefix.Key, newest uint64, gap bool, age time.Duration) {
 	newest = last
 	for _, e := range p.Events {
@@ -55,20 +56,20 @@
 	return stored, evicted, newest, gap, age
 }
 
-// Watcher reads a server's reports.
+// Watcher reads a server's load reports and cache events.
 type Watcher struct {
 	base   string
 	client *http.Client
 }
 
 const (
-	watchTimeout   = 1 * time.Second
-	maxWatchAnswer = 4 << 20
+	requestTimeout = 1 * time.Second
+	maxReportBytes = 4 << 20
 )
 
-// NewWatcher makes a watcher over a shared transport.
+// NewWatcher returns a watcher that uses a shared transport.
 func NewWatcher(address string, t http.RoundTripper) *Watcher {
-	return &Watcher{base: "http://" + address, client: &http.Client{Transport: t, Timeout: watchTimeout}}
+	return &Watcher{base: "http://" + address, client: &http.Client{Transport: t, Timeout: requestTimeout}}
 }
 
 // Load reads the load report.
@@ -78,7 +79,7 @@
 	return l, err
 }
 
-// CacheEvents reads the events after a sequence number.
+// CacheEvents reads the cache events after a sequence number.
 func (w *Watcher) CacheEvents(ctx context.Context, after uint64) (CachePage, error) {
 	var p CachePage
 	err := w.get(ctx, "/v1/cache/events?after="+strconv.FormatUint(after, 10), &p)
@@ -92,15 +93,15 @@
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return failure.Wrap(failure.NoServer, err, "watch %s", path)
+		return failure.Wrap(failure.NoServer, err, "read %s", path)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return failure.New(failure.NoServer, "%s answered %d", path, resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWatchAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
-		return failure.Wrap(failure.NoServer, err, "watch %s", path)
+		return failure.Wrap(failure.NoServer, err, "read %s", path)
 	}
 	return failure.Wrap(failure.NoServer, json.Unmarshal(body, into), "%s", fmt.Sprintf("decode %s", path))
 }
