--- a/caller/call.go
+++ b/caller/call.go
@@ -22,54 +22,54 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Request is one call. Model services take Prompt; plain services take Path
-// and Body.
+// Request is one call. Model services take Prompt. Plain services, which are
+// HTTP services without a model, take Path and Body.
 type Request struct {
-	Kind         string // request kind of the rules; empty: the least urgent
+	Kind         string // request kind of the configuration; empty: the least urgent
 	Prompt       string
 	MaxTokens    int
 	Stream       bool
-	PrefixTokens int           // length of the shared beginning, if known
-	Path         string        // of a plain service's call, without a slash
-	Body         []byte        // of a plain service's call
+	PrefixTokens int           // length of the prefix shared with other prompts, if known
+	Path         string        // for plain services, without a leading slash
+	Body         []byte        // for plain services
 	ContentType  string        // of Body
-	Deadline     time.Duration // for the whole answer; 0: the kind's
-	Key          string        // Idempotency-Key; empty: an id is minted
-	// OnData sees the bytes of a streamed answer as they arrive; may be nil.
+	Deadline     time.Duration // for the complete answer; 0: the deadline of the kind
+	Key          string        // Idempotency-Key; empty: the client generates a request id
+	// OnData receives the bytes of a streamed answer as they arrive; may be nil.
 	OnData func([]byte)
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	ID       string
-	Body     []byte // as the server made it: the events, or the plain body
-	FirstIn  time.Duration
-	Total    time.Duration
+	Body     []byte        // as the server sent it: the events, or the plain body
+	FirstIn  time.Duration // from the start of the call to the first data
+	Total    time.Duration // from the start of the call to the end of the answer
 	Attempts int
 }
 
-// errCut marks a connection that broke or fell silent after the request was
-// sent: the request may be held or run.
-var errCut = errors.New("connection cut")
+// errInterrupted marks a connection that broke or timed out after the request was
+// sent, and a stream with inconsistent data. A host may hold or run the request.
+var errInterrupted = errors.New("connection interrupted")
 
-// errNotSent marks a failure before a byte was sent.
-var errNotSent = errors.New("not sent")
+// errNotSent marks a failure before the first byte of the request was sent.
+var errNotSent = errors.New("request not sent")
 
-// call is one Do in progress. Its goroutine owns it.
+// call is one Do or Attach in progress. It is used by one goroutine only.
 type call struct {
-	c       *Client
-	req     *Request
-	id      ident.RequestID
-	attempt int
-	tried   []string // incarnations that may hold the id
-	begun   time.Time
-	first   time.Duration
-	data    []byte
+	c           *Client
+	req         *Request
+	id          ident.RequestID
+	attempt     int
+	tried       []string // incarnations of the hosts that may hold the request
+	started     time.Time
+	timeToFirst time.Duration
+	data        []byte
 }
 
-// Do makes one call and returns its answer, or a *Failure.
+// Do makes one call and returns its answer. Errors are of type *Failure.
 func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
-	k := &call{c: c, req: r, begun: time.Now()}
+	k := &call{c: c, req: r, started: time.Now()}
 	a, f := k.run(ctx)
 	if o := c.opt.Observer; o != nil {
 		o.Told(k.idText(), r, a, f)
@@ -87,7 +87,7 @@
 	return k.id.String()
 }
 
-// run tries hosts until there is a final word.
+// run tries hosts until one returns a final result or the attempts are used up.
 func (k *call) run(ctx context.Context) (*Answer, *Failure) {
 	var last *Failure
 	for k.attempt < k.c.opt.Attempts {
@@ -113,25 +113,26 @@
 		select {
 		case <-time.After(retryPause):
 		case <-ctx.Done():
-			return nil, k.lost("the caller gave up: " + ctx.Err().Error())
+			return nil, k.holderLost("the caller gave up: " + ctx.Err().Error())
 		}
 	}
 	if len(k.tried) > 0 || last == nil {
-		return nil, k.lost("no host gave a final word")
+		return nil, k.holderLost("no host returned a final result")
 	}
 	return nil, last
 }
 
 func (k *call) final(ctx context.Context, a *Answer, f *Failure) (*Answer, *Failure) {
 	if a == nil && f == nil {
-		return nil, k.lost("the caller gave up: " + ctx.Err().Error())
+		return nil, k.holderLost("the caller gave up: " + ctx.Err().Error())
 	}
 	return a, f
 }
 
-// lost is the final word when none came: unknown once anything was sent.
-func (k *call) lost(why string) *Failure {
-	f := &Failure{Code: string(failure.HolderLost), Message: why, Outcome: string(failure.Unknown), RequestID: k.idText()}
+// holderLost returns the failure of a call without a final result. The outcome is
+// unknown if any host may hold the request.
+func (k *call) holderLost(reason string) *Failure {
+	f := &Failure{Code: string(failure.HolderLost), Message: reason, Outcome: string(failure.Unknown), RequestID: k.idText()}
 	if len(k.tried) == 0 {
 		f.Outcome = string(failure.NotRun)
 	}
@@ -154,7 +155,8 @@
 		return nil, localFailure(err), false
 	}
 	if len(k.tried) == 0 {
-		// Nothing was sent so far: a fresh id under this host's ticket.
+		// No host can hold the request yet, so it gets a new id under the ticket
+		// of this host. With a Key the host derives the id.
 		k.id = ident.Mint(inc)
 		if k.req.Key != "" {
 			k.id = ident.RequestID{}
@@ -167,38 +169,38 @@
 	resp, stop, err := k.send(ctx, h)
 	defer stop()
 	if errors.Is(err, errNotSent) {
-		k.c.avoid(h.Address)
+		k.c.markFailed(h.Address)
 		f = &Failure{Code: string(failure.NoHome), Message: err.Error(), Outcome: string(failure.NotRun), RequestID: k.idText()}
-		k.abandon(f)
+		k.reportNotRun(f)
 		return nil, f, false
 	}
-	k.note(h.Ticket)
+	k.addTried(h.Ticket)
 	if err != nil {
-		k.c.avoid(h.Address)
+		k.c.markFailed(h.Address)
 		return nil, nil, false
 	}
 	defer func() { _ = resp.Body.Close() }()
 	a, f, final = k.read(ctx, h, resp)
 	if f != nil && f.NotRun() {
-		k.forget(h.Ticket)
+		k.removeTried(h.Ticket)
 		if !final {
-			k.abandon(f)
+			k.reportNotRun(f)
 		}
 	}
 	return a, f, final
 }
 
-// abandon closes the id of an attempt of which nothing was sent: the next
-// attempt has another one.
-func (k *call) abandon(f *Failure) {
+// reportNotRun reports to the observer that the id of an attempt provably did not
+// run. It does so only if the next attempt uses a new id.
+func (k *call) reportNotRun(f *Failure) {
 	if o := k.c.opt.Observer; o != nil && len(k.tried) == 0 && k.req.Key == "" {
 		o.Told(k.idText(), k.req, nil, f)
 	}
 }
 
-// forget takes a host back that says the request did not run there: it took
-// nothing, so the next attempt is as good as the first.
-func (k *call) forget(incarnation string) {
+// removeTried removes a host that answered that the request did not run there. It
+// does not hold the request, so the next attempt need not name it.
+func (k *call) removeTried(incarnation string) {
 	for i, t := range k.tried {
 		if t == incarnation {
 			k.tried = append(k.tried[:i], k.tried[i+1:]...)
@@ -207,8 +209,8 @@
 	}
 }
 
-// note remembers that an incarnation may hold the id.
-func (k *call) note(incarnation string) {
+// addTried records that an incarnation may hold the request.
+func (k *call) addTried(incarnation string) {
 	for _, t := range k.tried {
 		if t == incarnation {
 			return
@@ -217,16 +219,17 @@
 	k.tried = append(k.tried, incarnation)
 }
 
-// send posts the request. The returned stop ends the silence watch.
+// send posts the request. The returned function stops the idle timer and cancels
+// the request; the caller must call it also after an error.
 func (k *call) send(ctx context.Context, h callerapi.LookupHost) (*http.Response, func(), error) {
 	path, body, err := k.encode()
 	if err != nil {
 		return nil, func() {}, errors.Join(errNotSent, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	quiet := time.AfterFunc(silenceLimit, cancel)
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
 	stop := func() {
-		quiet.Stop()
+		idleTimer.Stop()
 		cancel()
 	}
 	var conn *countedConn
@@ -235,12 +238,13 @@
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*countedConn); ok {
 				conn, before = c, c.written.Load()
-				c.quiet.Store(quiet)
+				c.idleTimer.Store(idleTimer)
 			}
 		},
 		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil }, // any number of them
 	}
-	// The body has no GetBody, so net/http never sends it twice by itself.
+	// NopCloser hides the reader's type, so that the request has no GetBody and
+	// net/http never sends it twice on its own.
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, "http://"+h.Address+path, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, stop, errors.Join(errNotSent, err)
@@ -254,7 +258,7 @@
 	if conn == nil || conn.written.Load() == before {
 		return nil, stop, errors.Join(errNotSent, err)
 	}
-	return nil, stop, errors.Join(errCut, err)
+	return nil, stop, errors.Join(errInterrupted, err)
 }
 
 type modelBody struct {
@@ -270,7 +274,7 @@
 	if k.plain() {
 		return "/v1/services/" + k.c.opt.Service + "/call/" + k.req.Path, k.req.Body, nil
 	}
-	// Always streamed: only a stream can be continued after a cut.
+	// Always streamed: only a stream can be resumed after the connection breaks.
 	body, err = json.Marshal(modelBody{Model: k.c.opt.Service, Prompt: k.req.Prompt, MaxTokens: k.req.MaxTokens, Stream: true})
 	return "/v1/completions", body, err
 }
@@ -302,30 +306,32 @@
 	}
 }
 
-// read takes the response of an attempt to its end.
+// read reads the response of an attempt to its end.
 func (k *call) read(ctx context.Context, h callerapi.LookupHost, resp *http.Response) (*Answer, *Failure, bool) {
 	if id, err := ident.ParseRequestID(resp.Header.Get(callerapi.HeaderRequestID)); err == nil {
 		k.id = id
 	}
 	if isFailure(resp) {
 		f := readFailure(resp, k.idText())
-		return nil, f, !passing(f)
+		return nil, f, !retryable(f)
 	}
 	if k.plain() {
-		return k.readWhole(ctx, h, resp)
+		return k.readPlain(ctx, h, resp)
 	}
 	return k.readStream(ctx, h, resp)
 }
 
-// isFailure tells a failure of the system from an answer of a plain service,
-// which may have any status: only answers carry a checksum or are streams.
+// isFailure reports whether the response is an error of an entry host. The
+// status does not tell, because plain services may answer with any status. Only
+// answers have a checksum or are event streams.
 func isFailure(resp *http.Response) bool {
 	return resp.Header.Get(callerapi.HeaderChecksum) == "" && !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// passing reports whether a failure only means that another host should be
-// tried: this one leaves, is cut off, or gave the request up for a resend.
-func passing(f *Failure) bool {
+// retryable reports whether the call should try another host: this one is
+// leaving, isolated or knows no home (the host that runs the scheduler), or the
+// request has moved elsewhere.
+func retryable(f *Failure) bool {
 	switch failure.Code(f.Code) {
 	case failure.Leaving, failure.Isolated, failure.Moved, failure.NoHome:
 		return true
@@ -333,57 +339,57 @@
 	return false
 }
 
-func (k *call) readWhole(ctx context.Context, h callerapi.LookupHost, resp *http.Response) (*Answer, *Failure, bool) {
+func (k *call) readPlain(ctx context.Context, h callerapi.LookupHost, resp *http.Response) (*Answer, *Failure, bool) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	sum := strconv.FormatUint(xxhash.Sum64(body), 16)
 	if err != nil || sum != resp.Header.Get(callerapi.HeaderChecksum) {
-		k.c.avoid(h.Address)
+		k.c.markFailed(h.Address)
 		return nil, nil, ctx.Err() != nil
 	}
 	k.data = body
-	k.first = time.Since(k.begun)
+	k.timeToFirst = time.Since(k.started)
 	return k.answer(), nil, true
 }
 
 func (k *call) answer() *Answer {
-	return &Answer{ID: k.idText(), Body: k.data, FirstIn: k.first, Total: time.Since(k.begun), Attempts: k.attempt}
+	return &Answer{ID: k.idText(), Body: k.data, FirstIn: k.timeToFirst, Total: time.Since(k.started), Attempts: k.attempt}
 }
 
-// readStream reads events until the end mark. After a cut it attaches again
-// at its offset, through this or any other host.
+// readStream reads events until the end event. If the connection breaks, it
+// attaches again at the current offset, through this or any other host.
 func (k *call) readStream(ctx context.Context, h callerapi.LookupHost, resp *http.Response) (*Answer, *Failure, bool) {
 	a, f, err := k.readEvents(resp.Body, 0)
 	if err == nil {
-		return a, f, f == nil || !passing(f)
+		return a, f, f == nil || !retryable(f)
 	}
-	k.c.avoid(h.Address)
+	k.c.markFailed(h.Address)
 	for ctx.Err() == nil && k.attempt < k.c.opt.Attempts && len(k.data) > 0 {
 		k.attempt++
 		hosts, lerr := k.c.lookup(ctx)
 		if lerr != nil || len(hosts) == 0 {
 			continue
 		}
-		if a, f, err = k.reattach(ctx, hosts[0]); err == nil && (f == nil || !passing(f)) {
+		if a, f, err = k.reattach(ctx, hosts[0]); err == nil && (f == nil || !retryable(f)) {
 			return a, f, true
 		}
-		k.c.avoid(hosts[0].Address)
+		k.c.markFailed(hosts[0].Address)
 	}
 	if ctx.Err() != nil {
-		return nil, k.lost(ctx.Err().Error()), true
+		return nil, k.holderLost(ctx.Err().Error()), true
 	}
 	return nil, nil, false
 }
 
-// reattach follows the answer from the offset that is here.
+// reattach reads the rest of the answer, from the end of the data received so far.
 func (k *call) reattach(ctx context.Context, h callerapi.LookupHost) (*Answer, *Failure, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	quiet := time.AfterFunc(silenceLimit, cancel)
-	defer quiet.Stop()
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*countedConn); ok {
-				c.quiet.Store(quiet)
+				c.idleTimer.Store(idleTimer)
 			}
 		},
 		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil }, // any number of them
@@ -405,13 +411,14 @@
 	return k.readEvents(resp.Body, len(k.data))
 }
 
-// Attach follows an id to its whole answer through any host, from its start.
+// Attach reads the answer to the request with this id from its start, through
+// any host. It returns once the answer is complete.
 func (c *Client) Attach(ctx context.Context, id string) (*Answer, error) {
 	rid, err := ident.ParseRequestID(id)
 	if err != nil {
 		return nil, localFailure(err)
 	}
-	k := &call{c: c, req: &Request{}, id: rid, begun: time.Now()}
+	k := &call{c: c, req: &Request{}, id: rid, started: time.Now()}
 	hosts, err := c.lookup(ctx)
 	if err != nil {
 		return nil, err
@@ -423,15 +430,15 @@
 		if err == nil && f == nil {
 			return a, nil
 		}
-		if f != nil && !passing(f) {
+		if f != nil && !retryable(f) {
 			return nil, f
 		}
 		last = err
 	}
-	return nil, k.lostWith(last)
+	return nil, k.attachFailure(last)
 }
 
-func (k *call) lostWith(err error) *Failure {
+func (k *call) attachFailure(err error) *Failure {
 	f := &Failure{Code: string(failure.HolderLost), Outcome: string(failure.Unknown), RequestID: k.idText(), Message: "no host answered"}
 	if err != nil {
 		f.Message = err.Error()
@@ -439,12 +446,12 @@
 	return f
 }
 
-// countedConn counts what was written and tells the silence watch of the
-// request in progress when something arrives.
+// countedConn counts the bytes written and resets the idle timer of the current
+// request when data arrives.
 type countedConn struct {
 	net.Conn
-	written atomic.Int64
-	quiet   atomic.Pointer[time.Timer]
+	written   atomic.Int64
+	idleTimer atomic.Pointer[time.Timer]
 }
 
 // Write implements net.Conn.
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,12 +1,13 @@
 // Package caller is the Go client of gentianflow. It looks up which entry
-// hosts serve a service, mints request ids under the ticket of the host it
-// sends to first, and when a connection breaks or falls silent it sends the
-// same id through another host or attaches again, so that a request runs at
-// most once and its answer arrives whole.
+// hosts serve a service and generates request ids. An id contains the ticket,
+// which identifies the running process, of the host that it is first sent to.
+// When a connection breaks or times out, the client sends the same id through
+// another host or attaches to the answer again, so that a request runs at most
+// once and its answer arrives complete.
 //
-// Every call ends in one of three ways: an Answer, which is whole; a Failure
-// whose Outcome is "not run", which is proved; or a Failure whose Outcome is
-// "unknown", when nobody can prove whether the request ran.
+// Every call ends in one of three ways: a complete Answer; a Failure with the
+// Outcome "not run", if the request provably did not run; or a Failure with the
+// Outcome "unknown", if nobody can prove whether the request ran.
 package caller
 
 import (
@@ -26,13 +27,13 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Failure is the typed error of a call.
+// Failure is the error of a call.
 type Failure struct {
 	Code       string
 	Message    string
 	Outcome    string        // "not run" or "unknown"
-	RequestID  string        // empty when the request never had one
-	RetryAfter time.Duration // 0: no advice
+	RequestID  string        // empty if the request had no id yet
+	RetryAfter time.Duration // 0: not specified
 }
 
 // Error implements error.
@@ -43,10 +44,13 @@
 // NotRun reports whether the request provably did not run.
 func (f *Failure) NotRun() bool { return f.Outcome == string(failure.NotRun) }
 
-// Observer sees what a Client asks and is told, for recorded histories. Its
-// methods are called from the goroutine of the call.
+// Observer is notified of the attempts and results of a Client, to record
+// histories. Its methods are called from the goroutine of the call.
 type Observer interface {
+	// Asked is called before each attempt.
 	Asked(id string, attempt int, r *Request)
+	// Told is called with the result of a call, and with the failure of an
+	// attempt whose id is not used again.
 	Told(id string, r *Request, a *Answer, f *Failure)
 }
 
@@ -54,61 +58,62 @@
 type Options struct {
 	Service          string
 	Secret           string   // of the client account
-	AvailabilityZone string   // the caller's own; near hosts are preferred
-	Hosts            []string // callers' addresses of some entry hosts, for look-ups
+	AvailabilityZone string   // of the caller; hosts in it are preferred
+	Hosts            []string // caller addresses of some entry hosts, for lookups
 	Observer         Observer // may be nil
-	Attempts         int      // most attempts of one call; 0 means 6
+	Attempts         int      // maximum attempts of one call; 0 means 6
 }
 
 const (
 	defaultAttempts = 6
 	dialTimeout     = 1 * time.Second
 	lookupTimeout   = 2 * time.Second
-	// silenceLimit is how long a connection may carry nothing. Hosts send a
-	// sign of life every second.
-	silenceLimit = 3 * time.Second
-	retryPause   = 100 * time.Millisecond
-	maxAnswer    = 64 << 20
+	// idleTimeout is how long a connection may be without incoming data. Hosts
+	// send a keep-alive every second.
+	idleTimeout = 3 * time.Second
+	retryPause  = 100 * time.Millisecond
+	maxAnswer   = 64 << 20
 )
 
 // Client calls one service for one client account. It is safe for
-// concurrent use. mu guards hosts, until and bad.
+// concurrent use. mu guards hosts, freshUntil and failed.
 type Client struct {
 	opt  Options
 	http *http.Client
 
-	mu    sync.Mutex
-	hosts []callerapi.LookupHost
-	until time.Time
-	bad   map[string]time.Time // addresses that failed lately
+	mu         sync.Mutex
+	hosts      []callerapi.LookupHost // result of the last lookup
+	freshUntil time.Time
+	failed     map[string]time.Time // last failure by address
 }
 
-// New makes a client.
+// New returns a client.
 func New(opt Options) *Client {
 	if opt.Attempts == 0 {
 		opt.Attempts = defaultAttempts
 	}
-	return &Client{opt: opt, http: &http.Client{Transport: newTransport()}, bad: map[string]time.Time{}}
+	return &Client{opt: opt, http: &http.Client{Transport: newTransport()}, failed: map[string]time.Time{}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// lookup returns the hosts to use, best first, from the kept answer or from
-// any host that answers.
+// lookup returns the hosts to use, best first. It uses the cached result while
+// that is valid, and else asks each known host until one answers. If none does,
+// it falls back to the expired result.
 func (c *Client) lookup(ctx context.Context) ([]callerapi.LookupHost, error) {
 	c.mu.Lock()
-	hosts, fresh := c.hosts, time.Now().Before(c.until)
+	hosts, fresh := c.hosts, time.Now().Before(c.freshUntil)
 	known := append([]callerapi.LookupHost(nil), c.hosts...)
 	c.mu.Unlock()
 	if fresh {
-		return c.usable(hosts), nil
+		return c.sortHosts(hosts), nil
 	}
 	addresses := append([]string(nil), c.opt.Hosts...)
 	for _, h := range known {
 		addresses = append(addresses, h.Address)
 	}
-	var last error = &Failure{Code: string(failure.NoHome), Outcome: string(failure.NotRun), Message: "no host to ask"}
+	var last error = &Failure{Code: string(failure.NoHome), Outcome: string(failure.NotRun), Message: "no host address for the lookup"}
 	for _, a := range addresses {
 		reply, err := c.lookupAt(ctx, a)
 		if err != nil {
@@ -117,53 +122,55 @@
 		}
 		c.mu.Lock()
 		c.hosts = reply.Hosts
-		c.until = time.Now().Add(time.Duration(reply.TTLMS) * time.Millisecond)
+		c.freshUntil = time.Now().Add(time.Duration(reply.TTLMS) * time.Millisecond)
 		c.mu.Unlock()
-		return c.usable(reply.Hosts), nil
+		return c.sortHosts(reply.Hosts), nil
 	}
 	if len(known) > 0 {
-		return c.usable(known), nil
+		return c.sortHosts(known), nil
 	}
 	return nil, last
 }
 
-// usable puts hosts that failed lately behind the others, and rotates those
-// of the first one's availability zone, so that the calls of one client
-// spread over them while the look-up's answer is kept.
-func (c *Client) usable(hosts []callerapi.LookupHost) []callerapi.LookupHost {
+// sortHosts returns the hosts in the order in which to try them. It moves hosts that
+// failed recently to the end, and rotates those in the availability zone of the
+// first one, so that the calls of a client spread over them while the lookup
+// result is cached.
+func (c *Client) sortHosts(hosts []callerapi.LookupHost) []callerapi.LookupHost {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hosts = rotate(hosts)
-	var good, bad []callerapi.LookupHost
+	var healthy, failed []callerapi.LookupHost
 	for _, h := range hosts {
-		if time.Since(c.bad[h.Address]) < silenceLimit {
-			bad = append(bad, h)
+		if time.Since(c.failed[h.Address]) < idleTimeout {
+			failed = append(failed, h)
 			continue
 		}
-		good = append(good, h)
+		healthy = append(healthy, h)
 	}
-	return append(good, bad...)
+	return append(healthy, failed...)
 }
 
+// rotate rotates the leading hosts of one availability zone by a random number.
 func rotate(hosts []callerapi.LookupHost) []callerapi.LookupHost {
-	near := 0
-	for near < len(hosts) && hosts[near].AvailabilityZone == hosts[0].AvailabilityZone {
-		near++
+	sameZone := 0
+	for sameZone < len(hosts) && hosts[sameZone].AvailabilityZone == hosts[0].AvailabilityZone {
+		sameZone++
 	}
-	if near < 2 {
+	if sameZone < 2 {
 		return hosts
 	}
-	k := rand.IntN(near)
-	out := append([]callerapi.LookupHost(nil), hosts[k:near]...)
+	k := rand.IntN(sameZone)
+	out := append([]callerapi.LookupHost(nil), hosts[k:sameZone]...)
 	out = append(out, hosts[:k]...)
-	return append(out, hosts[near:]...)
+	return append(out, hosts[sameZone:]...)
 }
 
-// avoid remembers that a host failed; the kept look-up is asked anew.
-func (c *Client) avoid(address string) {
+// markFailed records that a host failed and invalidates the cached lookup result.
+func (c *Client) markFailed(address string) {
 	c.mu.Lock()
-	c.bad[address] = time.Now()
-	c.until = time.Time{}
+	c.failed[address] = time.Now()
+	c.freshUntil = time.Time{}
 	c.mu.Unlock()
 }
 
@@ -191,12 +198,14 @@
 	return &reply, nil
 }
 
-// localFailure wraps an error of this side before anything was sent.
+// localFailure wraps an error that occurred in the client before anything was
+// sent.
 func localFailure(err error) *Failure {
 	return &Failure{Code: string(failure.NoHome), Message: err.Error(), Outcome: string(failure.NotRun)}
 }
 
-// readFailure reads the error body of a response.
+// readFailure reads the error body of a response. The outcome of a response
+// without a valid error body is unknown.
 func readFailure(resp *http.Response, id string) *Failure {
 	var body callerapi.ErrorBody
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
@@ -213,7 +222,7 @@
 	}
 }
 
-// ticket reads the incarnation that ids are minted under.
+// ticket parses the ticket of a host, which is the incarnation of its process.
 func ticket(h callerapi.LookupHost) (ident.Incarnation, error) {
 	return ident.ParseIncarnation(h.Ticket)
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -17,7 +17,7 @@
 	"github.com/gentianflow/gentianflow/internal/callerapi"
 )
 
-// newTransport makes connections whose writes are counted.
+// newTransport returns a transport whose connections are of type countedConn.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -34,27 +34,28 @@
 	}
 }
 
-// Read implements net.Conn. Every byte that arrives restarts the watch.
+// Read implements net.Conn. Incoming data resets the idle timer.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if quiet := c.quiet.Load(); n > 0 && quiet != nil {
-		quiet.Reset(silenceLimit)
+	if idleTimer := c.idleTimer.Load(); n > 0 && idleTimer != nil {
+		idleTimer.Reset(idleTimeout)
 	}
 	return n, err
 }
 
-const doneMark = "[DONE]"
+const doneMarker = "[DONE]"
 
-// readEvents reads a stream whose first byte has the given offset. It
-// returns an error only for a cut: anything else is an answer or a failure.
-// What is here already must come again unchanged.
+// readEvents reads a stream whose first byte has the given offset in the answer.
+// It returns an error only if the stream breaks off or its data is inconsistent;
+// anything else is an answer or a failure. Data that was received before must be
+// identical when it is repeated.
 func (k *call) readEvents(r io.Reader, offset int) (*Answer, *Failure, error) {
 	lines := bufio.NewReader(r)
 	var name string
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return nil, nil, errCut
+			return nil, nil, errInterrupted
 		}
 		line = strings.TrimSuffix(line, "\n")
 		if value, ok := strings.CutPrefix(line, "event: "); ok {
@@ -62,36 +63,37 @@
 			continue
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
-		if !ok || data == doneMark {
+		if !ok || data == doneMarker {
 			continue
 		}
 		switch name {
 		case callerapi.EventEnd:
-			return k.end(data)
+			return k.complete(data)
 		case callerapi.EventError:
 			return nil, eventFailure(data), nil
 		}
-		if offset, err = k.take(offset, data); err != nil {
+		if offset, err = k.appendEvent(offset, data); err != nil {
 			return nil, nil, err
 		}
 	}
 }
 
-// take adds one event at an offset.
-func (k *call) take(offset int, data string) (int, error) {
+// appendEvent appends the event at the given offset and returns the offset after
+// it. If the event was received before, it only compares the data.
+func (k *call) appendEvent(offset int, data string) (int, error) {
 	framed := []byte("data: " + data + "\n\n")
 	end := offset + len(framed)
 	if end <= len(k.data) {
 		if !bytes.Equal(k.data[offset:end], framed) {
-			return offset, errCut
+			return offset, errInterrupted
 		}
 		return end, nil
 	}
 	if offset != len(k.data) {
-		return offset, errCut
+		return offset, errInterrupted
 	}
-	if k.first == 0 {
-		k.first = time.Since(k.begun)
+	if k.timeToFirst == 0 {
+		k.timeToFirst = time.Since(k.started)
 	}
 	k.data = append(k.data, framed...)
 	if k.req.OnData != nil {
@@ -100,11 +102,12 @@
 	return end, nil
 }
 
-func (k *call) end(data string) (*Answer, *Failure, error) {
+// complete checks length, checksum and request id of the answer against the end event.
+func (k *call) complete(data string) (*Answer, *Failure, error) {
 	var mark callerapi.EndMark
 	if json.Unmarshal([]byte(data), &mark) != nil || mark.Length != len(k.data) || mark.ID != k.idText() ||
 		mark.Checksum != strconv.FormatUint(xxhash.Sum64(k.data), 16) {
-		return nil, nil, errCut
+		return nil, nil, errInterrupted
 	}
 	return k.answer(), nil, nil
 }
