--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -17,45 +17,45 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// MaxHeaderBytes bounds the headers of a caller's request.
+// MaxHeaderBytes limits the size of the headers of a caller's request.
 const MaxHeaderBytes = 16 << 10
 
-// seenBlocks is how many prompt blocks a host remembers to find shared
+// maxSeenBlocks is how many prompt blocks a host remembers to find shared
 // prefixes: 32,768 blocks of 64 tokens, about 2 MB.
-const seenBlocks = 32768
-
-// Gate tells whether this host takes new requests; the error says why not.
-type Gate func() error
-
-// Sources are what the API reads from other duties.
-type Sources struct {
-	Config  *configsync.Syncer
-	Members *member.Table
-	Holder  *holder.Holder
-	Events  *event.Recorder
-	Gate    Gate
-	Meter   *Meter
+const maxSeenBlocks = 32768
+
+// AdmissionCheck returns an error if this host does not accept new requests.
+type AdmissionCheck func() error
+
+// Dependencies are the components that the API uses.
+type Dependencies struct {
+	Config         *configsync.Syncer
+	Members        *member.Table
+	Holder         *holder.Holder
+	Events         *event.Recorder
+	AdmissionCheck AdmissionCheck
+	Meter          *Meter
 }
 
-// API serves callers.
+// API is the HTTP interface for callers.
 type API struct {
-	src      Sources
+	deps     Dependencies
 	prefixes *prefix.Seen
 }
 
-// New makes the API.
-func New(src Sources) (*API, error) {
-	seen, err := prefix.NewSeen(seenBlocks)
+// New returns the API.
+func New(deps Dependencies) (*API, error) {
+	seen, err := prefix.NewSeen(maxSeenBlocks)
 	if err != nil {
 		return nil, err
 	}
-	return &API{src: src, prefixes: seen}, nil
+	return &API{deps: deps, prefixes: seen}, nil
 }
 
-// Handler returns the HTTP handler for the callers' address.
+// Handler returns the HTTP handler for the caller address.
 func (a *API) Handler() http.Handler {
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(a.encodeError), kithttp.ServerBefore(markResend)}
-	submit := a.src.Meter.middleware(a.submit())
+	submit := a.deps.Meter.middleware(a.submit())
 	mux := http.NewServeMux()
 	mux.Handle("GET /v1/lookup", kithttp.NewServer(a.lookup(), a.decodeLookup, encodeJSON, options...))
 	model := a.limitBody(kithttp.NewServer(submit, a.decodeModel, a.encodeAnswer, options...))
@@ -69,7 +69,7 @@
 	return mux
 }
 
-// limitBody gives a body its time; the size is checked while reading.
+// limitBody sets the read deadline of the body. readBody checks its size.
 func (a *API) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if doc, err := a.document(); err == nil {
@@ -81,11 +81,10 @@
 	})
 }
 
-// timedBody lifts the read deadline when the body has ended.
-//
-// Guard: net/http goes on reading the connection during the answer, to notice
-// that the caller left. With the deadline still set, that read would fail
-// and cancel an answer that takes longer than a body may.
+// timedBody removes the read deadline at the end of the body. net/http continues
+// to read from the connection during the answer, to detect a disconnect of the
+// caller. With the deadline still set, that read would fail and cancel every
+// answer that takes longer than the time limit of the body.
 type timedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
@@ -100,7 +99,8 @@
 	return n, err
 }
 
-// reply is a record to follow, from an offset, streamed or whole.
+// reply is the record of a request, whose answer is sent from an offset, as a
+// stream or as one response.
 type reply struct {
 	record *holder.Record
 	offset int
@@ -110,14 +110,14 @@
 func (a *API) submit() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		req := request.(*submitRequest)
-		// A resend of what is held here is served even while this host takes
-		// nothing new.
-		if _, held := a.src.Holder.Get(req.sub.ID); !held {
-			if err := a.src.Gate(); err != nil {
+		// A resend of a request that this host holds is served even if the host
+		// does not accept new requests.
+		if _, held := a.deps.Holder.Get(req.sub.ID); !held {
+			if err := a.deps.AdmissionCheck(); err != nil {
 				return nil, err
 			}
 		}
-		r, err := a.src.Holder.Submit(req.sub, req.limits)
+		r, err := a.deps.Holder.Submit(req.sub, req.limits)
 		if err != nil {
 			return nil, err
 		}
@@ -128,7 +128,7 @@
 func (a *API) reattach() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		req := request.(*attachRequest)
-		r, err := a.src.Holder.Submit(req.sub, req.limits)
+		r, err := a.deps.Holder.Submit(req.sub, req.limits)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/callerapi/auth.go
+++ b/internal/callerapi/auth.go
@@ -1,6 +1,6 @@
-// Package callerapi is the interface towards callers: address look-up,
-// requests (streamed and whole) and re-attachment, as go-kit endpoints over
-// HTTP. Every call is checked against a client account.
+// Package callerapi is the HTTP interface for callers: lookup of entry hosts,
+// requests with streamed or single responses, and re-attachment to answers, as
+// go-kit endpoints. Every call is authenticated as a client account.
 package callerapi
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// authenticate finds the client account of the bearer secret.
+// authenticate returns the client account that the bearer secret belongs to.
 func authenticate(doc *config.Document, r *http.Request) (*config.ClientAccount, error) {
 	secret, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || secret == "" {
@@ -31,8 +31,8 @@
 	return nil, failure.New(failure.Unauthenticated, "no client account has this secret")
 }
 
-// allow checks that an account may use a service.
-func allow(doc *config.Document, a *config.ClientAccount, service string) (*config.Service, error) {
+// authorize returns the service if the account may use it.
+func authorize(doc *config.Document, a *config.ClientAccount, service string) (*config.Service, error) {
 	svc, ok := doc.Service(service)
 	if !ok {
 		return nil, failure.New(failure.UnknownService, "no service %q", service)
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -25,7 +25,7 @@
 	maxMaxTokens     = 1 << 20
 )
 
-// submitRequest is the decoded form of a request for the submit endpoint.
+// submitRequest is the decoded form of a request to submit.
 type submitRequest struct {
 	sub    holder.Submission
 	limits config.Limits
@@ -40,7 +40,7 @@
 	stream bool
 }
 
-// prompt is the part of an OpenAI-style body that the system reads.
+// prompt has the fields of an OpenAI-style body that the host reads.
 type prompt struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -51,7 +51,7 @@
 	} `json:"messages"`
 }
 
-// text is the whole prompt as the engine will see it.
+// text returns the complete prompt as the engine will process it.
 func (p *prompt) text() string {
 	if len(p.Messages) == 0 {
 		return p.Prompt
@@ -64,17 +64,18 @@
 	return b.String()
 }
 
-// document returns the configuration, or why there is none yet.
+// document returns the configuration, or a NoHome failure if this host has none
+// yet.
 func (a *API) document() (*config.Document, error) {
-	if c := a.src.Config.Current(); c != nil {
+	if c := a.deps.Config.Current(); c != nil {
 		return c.Document, nil
 	}
 	return nil, failure.Retry(failure.NoHome, time.Second, "this host has no configuration yet")
 }
 
-// decodeModel reads a completion or chat completion.
+// decodeModel decodes a completion or chat completion request.
 func (a *API) decodeModel(_ context.Context, r *http.Request) (any, error) {
-	doc, account, err := a.caller(r)
+	doc, account, err := a.authenticateCaller(r)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +90,7 @@
 	if p.MaxTokens < 0 || p.MaxTokens > maxMaxTokens {
 		return nil, failure.New(failure.BadRequest, "max_tokens %d is not within 0 and %d", p.MaxTokens, maxMaxTokens)
 	}
-	svc, err := allow(doc, account, p.Model)
+	svc, err := authorize(doc, account, p.Model)
 	if err != nil {
 		return nil, err
 	}
@@ -97,20 +98,21 @@
 		return nil, failure.New(failure.BadRequest, "service %q is not a model service", svc.Name)
 	}
 	req := &submitRequest{limits: doc.Rules.Limits, stream: p.Stream}
-	if err := a.fill(&req.sub, doc, account, svc, r); err != nil {
+	if err := a.setRequestFields(&req.sub, doc, account, svc, r); err != nil {
 		return nil, err
 	}
 	req.sub.Path = r.URL.Path
 	req.sub.ContentType = "application/json"
-	if req.sub.Body, err = streamed(body); err != nil {
+	if req.sub.Body, err = setStream(body); err != nil {
 		return nil, err
 	}
-	return req, a.describe(&req.sub, &p, r)
+	return req, a.setPromptFields(&req.sub, &p, r)
 }
 
-// streamed sets "stream" in the body: engines are always asked to stream.
-func streamed(body []byte) ([]byte, error) {
-	var fields map[string]json.RawMessage // unknown fields pass through as they are
+// setStream sets "stream" in the body, because engines are always requested to
+// stream.
+func setStream(body []byte) ([]byte, error) {
+	var fields map[string]json.RawMessage // unknown fields pass through unchanged
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, failure.Wrap(failure.BadRequest, err, "body")
 	}
@@ -119,8 +121,10 @@
 	return out, failure.Wrap(failure.Internal, err, "encode body")
 }
 
-// describe fills in the lengths and the shared prefix of a prompt.
-func (a *API) describe(s *holder.Submission, p *prompt, r *http.Request) error {
+// setPromptFields sets the token counts and the shared prefix of a prompt. The
+// caller can state the prefix length; otherwise it is the length shared with
+// earlier prompts.
+func (a *API) setPromptFields(s *holder.Submission, p *prompt, r *http.Request) error {
 	text := p.text()
 	s.PromptTokens = max(1, prefix.Tokens(text))
 	s.OutputTokens = p.MaxTokens
@@ -140,9 +144,10 @@
 	return nil
 }
 
-// decodePlain reads a call of a plain service.
+// decodePlain decodes a call of a plain service, which is an HTTP service without
+// a model.
 func (a *API) decodePlain(_ context.Context, r *http.Request) (any, error) {
-	doc, account, svc, err := a.callerOf(r, r.PathValue("service"))
+	doc, account, svc, err := a.authorizeCaller(r, r.PathValue("service"))
 	if err != nil {
 		return nil, err
 	}
@@ -156,12 +161,12 @@
 	req.sub.Plain = true
 	req.sub.Path = "/" + r.PathValue("path")
 	req.sub.ContentType = r.Header.Get("Content-Type")
-	return req, a.fill(&req.sub, doc, account, svc, r)
+	return req, a.setRequestFields(&req.sub, doc, account, svc, r)
 }
 
-// decodeAttach reads a re-attachment by id.
+// decodeAttach decodes a re-attachment to the answer of a request id.
 func (a *API) decodeAttach(_ context.Context, r *http.Request) (any, error) {
-	doc, account, svc, err := a.callerOf(r, r.PathValue("service"))
+	doc, account, svc, err := a.authorizeCaller(r, r.PathValue("service"))
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +188,9 @@
 	return req, nil
 }
 
-func (a *API) caller(r *http.Request) (*config.Document, *config.ClientAccount, error) {
+// authenticateCaller returns the configuration and the client account of the
+// request.
+func (a *API) authenticateCaller(r *http.Request) (*config.Document, *config.ClientAccount, error) {
 	doc, err := a.document()
 	if err != nil {
 		return nil, nil, err
@@ -192,18 +199,20 @@
 	return doc, account, err
 }
 
-// callerOf is caller with the service that the account may use.
-func (a *API) callerOf(r *http.Request, service string) (*config.Document, *config.ClientAccount, *config.Service, error) {
-	doc, account, err := a.caller(r)
+// authorizeCaller authenticates the caller and checks that its account may use the
+// service.
+func (a *API) authorizeCaller(r *http.Request, service string) (*config.Document, *config.ClientAccount, *config.Service, error) {
+	doc, account, err := a.authenticateCaller(r)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	svc, err := allow(doc, account, service)
+	svc, err := authorize(doc, account, service)
 	return doc, account, svc, err
 }
 
-// fill takes identity, kind and deadline from the headers and the rules.
-func (a *API) fill(s *holder.Submission, doc *config.Document, account *config.ClientAccount, svc *config.Service, r *http.Request) error {
+// setRequestFields sets account, service, request kind, deadline and id from the
+// headers and the configuration.
+func (a *API) setRequestFields(s *holder.Submission, doc *config.Document, account *config.ClientAccount, svc *config.Service, r *http.Request) error {
 	s.Account, s.Service = account.Name, svc.Name
 	kind, ok := doc.DefaultKind(svc.Name)
 	if name := r.Header.Get(HeaderKind); name != "" {
@@ -226,18 +235,19 @@
 		limit = time.Duration(ms) * time.Millisecond
 	}
 	s.Deadline = time.Now().Add(limit)
-	return a.identify(s, r)
+	return a.setRequestID(s, r)
 }
 
-// identify gives the request its id: by the caller's key, by the caller's
-// own id under a ticket, or a fresh one that cannot be resent.
-func (a *API) identify(s *holder.Submission, r *http.Request) error {
+// setRequestID sets the request id: derived from the caller's idempotency key, the
+// caller's own id, or a new one, which the caller cannot resend. An id under the
+// ticket (incarnation) of another host marks the request as a resend.
+func (a *API) setRequestID(s *holder.Submission, r *http.Request) error {
 	attempt, given, err := intHeader(r, HeaderAttempt, 1<<20)
 	if err != nil {
 		return err
 	}
 	s.Resend = given && attempt > 1
-	if s.Tried, err = tried(r.Header.Get(HeaderTried)); err != nil {
+	if s.Tried, err = parseTried(r.Header.Get(HeaderTried)); err != nil {
 		return err
 	}
 	key, id := r.Header.Get(HeaderKey), r.Header.Get(HeaderRequestID)
@@ -248,13 +258,13 @@
 		s.ID, s.Keyed = ident.Keyed(s.Account, key), true
 		return nil
 	case id == "":
-		s.ID = ident.Mint(a.src.Members.Self().Incarnation)
+		s.ID = ident.Mint(a.deps.Members.Self().Incarnation)
 		return nil
 	}
 	if s.ID, err = ident.ParseRequestID(id); err != nil {
 		return err
 	}
-	if s.ID.Ticket() != a.src.Members.Self().Incarnation {
+	if s.ID.Ticket() != a.deps.Members.Self().Incarnation {
 		s.Resend = true
 	}
 	if s.Resend {
@@ -263,7 +273,9 @@
 	return nil
 }
 
-func tried(text string) ([]ident.Incarnation, error) {
+// parseTried parses the incarnations of the hosts that the request was sent to
+// before.
+func parseTried(text string) ([]ident.Incarnation, error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -282,19 +294,22 @@
 	return out, nil
 }
 
-func intHeader(r *http.Request, name string, most int) (int, bool, error) {
+// intHeader parses a header with a number from 1 to maxValue. The second result
+// reports whether the header is present.
+func intHeader(r *http.Request, name string, maxValue int) (int, bool, error) {
 	text := r.Header.Get(name)
 	if text == "" {
 		return 0, false, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > most {
-		return 0, false, failure.New(failure.BadRequest, "%s %q is not a number from 1 to %d", name, text, most)
+	if err != nil || n < 1 || n > maxValue {
+		return 0, false, failure.New(failure.BadRequest, "%s %q is not a number from 1 to %d", name, text, maxValue)
 	}
 	return n, true, nil
 }
 
-// readBody reads a whole body within the limits of size and time.
+// readBody reads the complete body. It fails if the body exceeds the size limit
+// or the read timeout.
 func readBody(r *http.Request, limits config.Limits) ([]byte, error) {
 	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, failure.New(failure.TooLarge, "body of %d bytes; at most %d are allowed", r.ContentLength, limits.BodyBytes)
--- a/internal/callerapi/encode.go
+++ b/internal/callerapi/encode.go
@@ -15,12 +15,13 @@
 	"github.com/gentianflow/gentianflow/internal/holder"
 )
 
-// ErrorBody is the JSON of every failure told to a caller.
+// ErrorBody is the JSON body of every error response and error event.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what failed and what that proves about the request.
+// ErrorDetail describes a failure. Outcome states whether the request provably
+// did not run.
 type ErrorDetail struct {
 	Code         failure.Code    `json:"code"`
 	Message      string          `json:"message"`
@@ -40,16 +41,17 @@
 	return json.NewEncoder(w).Encode(response)
 }
 
-// encodeError answers a call that was refused before it was held. A resend
-// that is refused here may have run through the host tried before.
+// encodeError responds to a call that was refused before this host held its
+// request. A resend that is refused may have run through a host tried before, so
+// it is not reported as provably not run.
 func (a *API) encodeError(ctx context.Context, err error, w http.ResponseWriter) {
 	e := *failure.From(err)
 	e.Unproved = e.Unproved || isResend(ctx)
-	a.src.Events.Record(event.RequestRefused, event.Fields{Detail: string(e.Code)})
+	a.deps.Events.Record(event.RequestRefused, event.Fields{Detail: string(e.Code)})
 	writeError(w, &e, "")
 }
 
-// resendKey marks the context of a call that resends a request.
+// resendKey is the context key for whether the call resends a request.
 type resendKey struct{}
 
 func markResend(ctx context.Context, r *http.Request) context.Context {
@@ -67,48 +69,50 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(e.Status())
-	_ = json.NewEncoder(w).Encode(errorBody(e, id)) // the caller may have left
+	_ = json.NewEncoder(w).Encode(errorBody(e, id)) // the caller may have disconnected
 }
 
-// encodeAnswer follows a record to its final word.
+// encodeAnswer sends the answer of a request from its record, until the answer or
+// a failure is complete.
 func (a *API) encodeAnswer(ctx context.Context, w http.ResponseWriter, response any) error {
 	rep := response.(*reply)
-	leave := rep.record.Follow()
-	defer leave()
+	unfollow := rep.record.Follow()
+	defer unfollow()
 	w.Header().Set(HeaderRequestID, rep.record.Sub.ID.String())
-	w.Header().Set(HeaderIncarnation, a.src.Members.Self().Incarnation.String())
+	w.Header().Set(HeaderIncarnation, a.deps.Members.Self().Incarnation.String())
 	if rep.stream {
-		streamAnswer(ctx, w, rep)
+		sendStream(ctx, w, rep)
 		return nil
 	}
-	wholeAnswer(ctx, w, rep)
+	sendBuffered(ctx, w, rep)
 	return nil
 }
 
-// aliveInterval is how often a caller that waits is told that its connection
-// lives: by an interim response before the answer begins, by a comment in the
-// stream after that. A caller that hears nothing for a few intervals knows
-// that the connection is dead, however long its request may wait.
-const aliveInterval = 1 * time.Second
+// keepAliveInterval is the interval of keep-alives to a waiting caller: interim
+// responses before the answer begins, then comments in the event stream. A
+// caller that receives nothing for a few intervals can treat the connection as
+// dead, no matter how long its request waits.
+const keepAliveInterval = 1 * time.Second
 
-// stillWaiting is the code of a read that saw nothing for aliveInterval.
+// stillWaiting is the code of a read that returned no data for keepAliveInterval.
 const stillWaiting failure.Code = "still_waiting"
 
+// read reads from the answer for at most keepAliveInterval.
 func read(ctx context.Context, a *holder.Answer, offset int) ([]byte, bool, error) {
-	short, cancel := context.WithTimeout(ctx, aliveInterval)
+	readCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
 	defer cancel()
-	data, ended, err := a.Read(short, offset)
-	if len(data) == 0 && !ended && short.Err() != nil {
+	data, ended, err := a.Read(readCtx, offset)
+	if len(data) == 0 && !ended && readCtx.Err() != nil {
 		return nil, false, &failure.Error{Code: stillWaiting}
 	}
 	return data, ended, err
 }
 
-// streamAnswer passes parts on as they arrive. Until the first one a failure
-// has its HTTP status; after it, an event ends the stream: EventEnd with
-// length and checksum for a whole answer, EventError for anything else. A
-// stream without either is cut off.
-func streamAnswer(ctx context.Context, w http.ResponseWriter, rep *reply) {
+// sendStream forwards data as it arrives. A failure before the first data is
+// sent with its HTTP status. After that, an event ends the stream: EventEnd with
+// length and checksum for a complete answer, EventError for a failure. A stream
+// that ends without either is incomplete.
+func sendStream(ctx context.Context, w http.ResponseWriter, rep *reply) {
 	answer, id := rep.record.Answer(), rep.record.Sub.ID.String()
 	control := http.NewResponseController(w)
 	offset, started := rep.offset, false
@@ -169,17 +173,17 @@
 		return
 	}
 	if err == nil {
-		_, _ = fmt.Fprint(w, "data: [DONE]\n\n") // a caller that left is no failure
+		_, _ = fmt.Fprint(w, "data: [DONE]\n\n") // the caller may have disconnected
 	}
 	_, _ = fmt.Fprintf(w, "event: %s\ndata: %s\n\n", name, text)
 }
 
-// wholeAnswer waits for the end and answers once.
-func wholeAnswer(ctx context.Context, w http.ResponseWriter, rep *reply) {
+// sendBuffered waits for the complete answer and sends it as one response.
+func sendBuffered(ctx context.Context, w http.ResponseWriter, rep *reply) {
 	answer, id := rep.record.Answer(), rep.record.Sub.ID.String()
-	var all []byte
+	var body []byte
 	for {
-		data, ended, err := read(ctx, answer, len(all))
+		data, ended, err := read(ctx, answer, len(body))
 		if ctx.Err() != nil {
 			return
 		}
@@ -191,8 +195,8 @@
 			writeError(w, failure.From(err), id)
 			return
 		}
-		all = append(all, data...)
-		if length, _ := answer.Whole(); ended && len(all) >= length {
+		body = append(body, data...)
+		if length, _ := answer.Whole(); ended && len(body) >= length {
 			break
 		}
 	}
@@ -205,14 +209,14 @@
 			w.Header().Set("Content-Type", contentType)
 		}
 		w.WriteHeader(status)
-		_, _ = w.Write(all) // the caller may have left; the answer stays for the horizon
+		_, _ = w.Write(body) // the caller may have disconnected; the answer is retained for the horizon
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(wholeCompletion(all, rep.record))
+	_ = json.NewEncoder(w).Encode(newCompletion(body, rep.record))
 }
 
-// Completion is the body of a whole answer of a model service.
+// Completion is the body of a response of a model service that is not streamed.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -221,8 +225,8 @@
 	Choices []Choice `json:"choices"`
 }
 
-// Choice is the one choice of a completion. Calls of the chat kind carry the
-// text in Message as well.
+// Choice is the only choice of a completion. For chat completions, Message has
+// the text as well.
 type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text"`
@@ -236,7 +240,7 @@
 	Content string `json:"content"`
 }
 
-// chunk is one streamed event of an engine.
+// chunk is one event of an engine's stream.
 type chunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -246,7 +250,8 @@
 	} `json:"choices"`
 }
 
-func wholeCompletion(stream []byte, r *holder.Record) Completion {
+// newCompletion joins the texts of an engine's stream.
+func newCompletion(stream []byte, r *holder.Record) Completion {
 	var text strings.Builder
 	for _, ev := range strings.Split(string(stream), "\n\n") {
 		var c chunk
--- a/internal/callerapi/headers.go
+++ b/internal/callerapi/headers.go
@@ -1,6 +1,6 @@
 package callerapi
 
-// The headers of the callers' interface.
+// The headers of requests and responses.
 const (
 	HeaderRequestID    = "Gentian-Request-Id"
 	HeaderAttempt      = "Gentian-Attempt"
@@ -14,7 +14,7 @@
 	HeaderKey          = "Idempotency-Key"
 )
 
-// The server-sent events that end a streamed answer.
+// The types of the server-sent events that end a streamed answer.
 const (
 	EventEnd   = "gentian-end"
 	EventError = "gentian-error"
--- a/internal/callerapi/lookup.go
+++ b/internal/callerapi/lookup.go
@@ -13,17 +13,18 @@
 	"github.com/gentianflow/gentianflow/internal/member"
 )
 
-// LookupHost is one address that a caller may use.
+// LookupHost is an entry host that a caller may use.
 type LookupHost struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availability_zone"`
 	Address          string `json:"address"`
-	// Ticket is the host's incarnation: a caller mints request ids under it
-	// and sends each first to this host.
+	// Ticket is the incarnation of the host, which identifies its running
+	// process. A caller generates request ids that contain it and sends each
+	// request to this host first.
 	Ticket string `json:"ticket"`
 }
 
-// LookupReply names the hosts of a service, best first.
+// LookupReply lists the entry hosts for a service, best first.
 type LookupReply struct {
 	Service string       `json:"service"`
 	TTLMS   int64        `json:"ttl_ms"`
@@ -38,20 +39,20 @@
 
 func (a *API) decodeLookup(_ context.Context, r *http.Request) (any, error) {
 	service := r.URL.Query().Get("service")
-	doc, _, _, err := a.callerOf(r, service)
+	doc, _, _, err := a.authorizeCaller(r, service)
 	if err != nil {
 		return nil, err
 	}
 	return &lookupRequest{doc: doc, service: service, zone: r.URL.Query().Get("availability_zone")}, nil
 }
 
-// lookup steers a caller to the few hosts of a service: those of its own
+// lookup returns the few entry hosts for a service: those in the caller's
 // availability zone first, each group in random order so that callers spread
-// over them. Hosts that leave or are dead are not named.
+// over the hosts. It omits all hosts that are not alive, for example leaving ones.
 func (a *API) lookup() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		req := request.(*lookupRequest)
-		ranked := member.Rank(req.service, a.src.Members.All(), req.doc.Rules.Lookup.HostsPerService)
+		ranked := member.Rank(req.service, a.deps.Members.All(), req.doc.Rules.Lookup.HostsPerService)
 		var near, far []member.Member
 		for _, m := range ranked {
 			switch {
--- a/internal/callerapi/meter.go
+++ b/internal/callerapi/meter.go
@@ -10,14 +10,14 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Meter counts what callers ask for, in a go-metrics registry.
+// Meter counts and times the requests of callers in a go-metrics registry.
 type Meter struct {
 	requests metrics.Counter
 	refused  metrics.Counter
-	accept   metrics.Timer // from decoded request to held request
+	accept   metrics.Timer // from the decoded request until this host holds it
 }
 
-// NewMeter registers the meters.
+// NewMeter returns a Meter whose metrics are registered with r.
 func NewMeter(r metrics.Registry) *Meter {
 	m := &Meter{requests: metrics.NewCounter(), refused: metrics.NewCounter(), accept: metrics.NewTimer()}
 	_ = r.Register("caller.requests", m.requests)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -171,9 +171,9 @@
 }
 
 func (d *Daemon) buildServers() error {
-	api, err := callerapi.New(callerapi.Sources{
+	api, err := callerapi.New(callerapi.Dependencies{
 		Config: d.config, Members: d.members, Holder: d.holder, Events: d.events,
-		Gate: d.gate, Meter: callerapi.NewMeter(d.metrics),
+		AdmissionCheck: d.gate, Meter: callerapi.NewMeter(d.metrics),
 	})
 	if err != nil {
 		return err
