--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the interface towards operators: status, members,
-// configuration, time line, drain and metrics, as go-kit endpoints over HTTP.
+// Package admin is the HTTP interface for operators: status, members,
+// configuration, timeline, drain and metrics, as go-kit endpoints.
 package admin
 
 import (
@@ -22,8 +22,8 @@
 	"github.com/gentianflow/gentianflow/internal/member"
 )
 
-// Sources are what the interface reads from other duties.
-type Sources struct {
+// Dependencies are the components that the interface uses.
+type Dependencies struct {
 	Config  *configsync.Syncer
 	Members *member.Table
 	Homes   *home.Manager
@@ -31,40 +31,39 @@
 	Events  *event.Recorder
 	Metrics metrics.Registry
 	Drain   func()
-	Token   string // bearer token asked of operators; empty: none
+	Token   string // bearer token required from operators; empty: no authentication
 }
 
-// Admin serves operators.
-type Admin struct{ src Sources }
+// Admin is the HTTP interface for operators.
+type Admin struct{ deps Dependencies }
 
-// New makes the interface.
-func New(src Sources) *Admin { return &Admin{src: src} }
+// New returns the interface.
+func New(deps Dependencies) *Admin { return &Admin{deps: deps} }
 
-// Handler returns the HTTP handler for the operators' address.
+// Handler returns the HTTP handler for the admin address.
 func (a *Admin) Handler() http.Handler {
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
 	mux := http.NewServeMux()
 	handle := func(pattern string, e endpoint.Endpoint, decode kithttp.DecodeRequestFunc) {
-		mux.Handle(pattern, kithttp.NewServer(a.guard(e), a.authorized(decode), encode, options...))
+		mux.Handle(pattern, kithttp.NewServer(a.recoverPanic(e), a.authorized(decode), encode, options...))
 	}
 	handle("GET /v1/status", a.status, kithttp.NopRequestDecoder)
 	handle("GET /v1/members", a.members, kithttp.NopRequestDecoder)
-	handle("GET /v1/config", a.configNow, kithttp.NopRequestDecoder)
+	handle("GET /v1/config", a.currentConfig, kithttp.NopRequestDecoder)
 	handle("GET /v1/config/history", a.history, kithttp.NopRequestDecoder)
 	handle("POST /v1/config", a.apply, decodeProposal)
 	handle("GET /v1/timeline", a.timeline, decodeFilter)
 	handle("POST /v1/drain", a.startDrain, kithttp.NopRequestDecoder)
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		metrics.CaptureRuntimeMemStatsOnce(a.src.Metrics)
-		metrics.WriteJSONOnce(a.src.Metrics, w)
+		metrics.CaptureRuntimeMemStatsOnce(a.deps.Metrics)
+		metrics.WriteJSONOnce(a.deps.Metrics, w)
 	})
 	return mux
 }
 
-// guard is the place for what all endpoints share; a panic in one is an
-// Internal failure of that call alone.
-func (a *Admin) guard(next endpoint.Endpoint) endpoint.Endpoint {
+// recoverPanic turns a panic in an endpoint into an Internal failure of that call.
+func (a *Admin) recoverPanic(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (response any, err error) {
 		defer func() {
 			if p := recover(); p != nil {
@@ -77,15 +76,16 @@
 
 func (a *Admin) authorized(decode kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
 	return func(ctx context.Context, r *http.Request) (any, error) {
-		want := "Bearer " + a.src.Token
-		if a.src.Token != "" && subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), []byte(want)) != 1 {
+		want := "Bearer " + a.deps.Token
+		if a.deps.Token != "" && subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), []byte(want)) != 1 {
 			return nil, failure.New(failure.Unauthenticated, "operators need the admin token")
 		}
 		return decode(ctx, r)
 	}
 }
 
-// Status is one host's view of itself.
+// Status is the status of this host: its membership, its configuration version,
+// the requests it holds and the homes (service schedulers) it runs.
 type Status struct {
 	Self    member.Member `json:"self"`
 	Version uint64        `json:"config_version"`
@@ -94,44 +94,44 @@
 }
 
 func (a *Admin) status(context.Context, any) (any, error) {
-	s := Status{Self: a.src.Members.Self(), Held: a.src.Holder.Stats(), Homes: a.src.Homes.Status()}
-	if c := a.src.Config.Current(); c != nil {
+	s := Status{Self: a.deps.Members.Self(), Held: a.deps.Holder.Stats(), Homes: a.deps.Homes.Status()}
+	if c := a.deps.Config.Current(); c != nil {
 		s.Version = c.Version
 	}
 	return s, nil
 }
 
-// MembersReply lists the members as one host sees them.
+// MembersReply lists the members that this host knows.
 type MembersReply struct {
 	Members []member.Member `json:"members"`
 }
 
 func (a *Admin) members(context.Context, any) (any, error) {
-	return MembersReply{Members: a.src.Members.All()}, nil
+	return MembersReply{Members: a.deps.Members.All()}, nil
 }
 
-// ConfigReply is the configuration in force on one host.
+// ConfigReply is the configuration in force on this host.
 type ConfigReply struct {
 	Version  uint64 `json:"version"`
 	ChangeID string `json:"change_id"`
 	Text     []byte `json:"text"`
 }
 
-func (a *Admin) configNow(context.Context, any) (any, error) {
-	c := a.src.Config.Current()
+func (a *Admin) currentConfig(context.Context, any) (any, error) {
+	c := a.deps.Config.Current()
 	if c == nil {
 		return ConfigReply{}, nil
 	}
 	return ConfigReply{Version: c.Version, ChangeID: c.ChangeID, Text: c.Text}, nil
 }
 
-// HistoryReply lists accepted changes, oldest first.
+// HistoryReply lists the accepted configuration changes, oldest first.
 type HistoryReply struct {
 	Changes []configsync.Change `json:"changes"`
 }
 
 func (a *Admin) history(ctx context.Context, _ any) (any, error) {
-	changes, err := a.src.Config.History(ctx)
+	changes, err := a.deps.Config.History(ctx)
 	return HistoryReply{Changes: changes}, err
 }
 
@@ -146,7 +146,7 @@
 }
 
 func (a *Admin) apply(ctx context.Context, request any) (any, error) {
-	return a.src.Config.Apply(ctx, request.(configsync.Proposal))
+	return a.deps.Config.Apply(ctx, request.(configsync.Proposal))
 }
 
 func decodeFilter(_ context.Context, r *http.Request) (any, error) {
@@ -154,22 +154,22 @@
 	return event.Filter{Request: q.Get("request"), Service: q.Get("service"), Server: q.Get("server")}, nil
 }
 
-// TimelineReply is one host's part of the time line.
+// TimelineReply lists the events that this host has recorded.
 type TimelineReply struct {
 	Events []event.Event `json:"events"`
 }
 
 func (a *Admin) timeline(_ context.Context, request any) (any, error) {
-	return TimelineReply{Events: a.src.Events.Events(request.(event.Filter))}, nil
+	return TimelineReply{Events: a.deps.Events.Events(request.(event.Filter))}, nil
 }
 
-// DrainReply confirms that a drain began.
+// DrainReply confirms the start of a drain.
 type DrainReply struct {
 	Draining bool `json:"draining"`
 }
 
 func (a *Admin) startDrain(context.Context, any) (any, error) {
-	a.src.Drain()
+	a.deps.Drain()
 	return DrainReply{Draining: true}, nil
 }
 
@@ -178,7 +178,7 @@
 	return json.NewEncoder(w).Encode(response)
 }
 
-// ErrorReply is the JSON of a failed call.
+// ErrorReply is the JSON body of an error response.
 type ErrorReply struct {
 	Code    failure.Code `json:"code"`
 	Message string       `json:"message"`
@@ -188,5 +188,5 @@
 	e := failure.From(err)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Status())
-	_ = json.NewEncoder(w).Encode(ErrorReply{Code: e.Code, Message: e.Message}) // the operator may have left
+	_ = json.NewEncoder(w).Encode(ErrorReply{Code: e.Code, Message: e.Message}) // the operator may have disconnected
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -179,7 +179,7 @@
 		return err
 	}
 	d.callerServer = newServer(api.Handler())
-	d.adminServer = newServer(admin.New(admin.Sources{
+	d.adminServer = newServer(admin.New(admin.Dependencies{
 		Config: d.config, Members: d.members, Homes: d.homes, Holder: d.holder, Events: d.events,
 		Metrics: d.metrics, Drain: d.StartDrain, Token: d.set.AdminToken,
 	}).Handler())
