--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon puts the duties of one entry host together: entry (callers
-// and the requests they gave), scheduler (the cells whose home is here),
-// member (who is alive, which configuration is newest) and engine side.
+// Package daemon combines the components of one entry host: the callers'
+// interface and the requests that the host holds for them, the scheduler with the
+// cells (queue and scheduler of one service each) whose home is this host,
+// membership and configuration, and the connections to the backend servers.
 package daemon
 
 import (
@@ -34,14 +35,14 @@
 )
 
 const (
-	// isolationLimit is how long a host takes new requests with neither the
-	// table service nor a peer answering.
-	isolationLimit = 5 * time.Second
-	hostListPeriod = 2 * time.Second
-	headerTimeout  = 5 * time.Second
-	idleTimeout    = 2 * time.Minute
-	drainPoll      = 50 * time.Millisecond
-	memberHorizon  = 150 * time.Second // above the ledger's default horizon
+	// isolationLimit is how long a host accepts new requests while neither the
+	// table service nor a peer answers.
+	isolationLimit    = 5 * time.Second
+	hostListInterval  = 2 * time.Second
+	headerTimeout     = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	drainPollInterval = 50 * time.Millisecond
+	memberHorizon     = 150 * time.Second // above the default horizon, for which a ledger keeps request ids
 )
 
 // Daemon is one running entry host.
@@ -61,24 +62,24 @@
 	backends *http.Transport
 	traffic  peer.Traffic
 
-	callerServer *http.Server
-	adminServer  *http.Server
-	control      net.Listener
-	callerL      net.Listener
-	adminL       net.Listener
+	callerServer    *http.Server
+	adminServer     *http.Server
+	controlListener net.Listener
+	callerListener  net.Listener
+	adminListener   net.Listener
 
-	seeds    atomic.Pointer[[]string] // from the host list
-	refusing atomic.Bool              // drained past the look-up's time
-	isolated atomic.Bool
-	drained  chan struct{} // closed when a drain has ended
-	drain    sync.Once
+	seeds     atomic.Pointer[[]string] // control addresses from the platform's host list
+	refuseNew atomic.Bool              // set during a drain once the lookup TTL has passed
+	isolated  atomic.Bool              // set after isolationLimit without an answer
+	drained   chan struct{}            // closed at the end of a drain
+	drainOnce sync.Once
 
-	duties sync.WaitGroup
-	cancel context.CancelFunc
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc
 }
 
-// New opens the listeners and builds the duties; Run starts them. The
-// settings must have passed their check. It fails when an address is taken.
+// New opens the listeners and creates the components; Run starts them. The
+// settings must be valid. New fails if an address is in use.
 func New(set settings.Daemon) (*Daemon, error) {
 	d := &Daemon{set: set, inc: ident.NewIncarnation(), drained: make(chan struct{}), metrics: metrics.NewRegistry()}
 	d.events = event.NewRecorder(set.Host, d.inc.String(), set.TimelineSize, newLogger(set))
@@ -105,43 +106,43 @@
 	return log.With(l, "ts", log.DefaultTimestampUTC, "host", set.Host)
 }
 
-// listen opens all sockets first, so that the addresses told to others are
-// the real ones even where the port was left to the system.
+// listen opens all sockets before the components are created, so that the host
+// advertises its actual addresses even if the system chose a port.
 func (d *Daemon) listen() (net.PacketConn, error) {
 	var err error
-	if d.callerL, err = net.Listen("tcp", d.set.CallerAddress); err != nil {
+	if d.callerListener, err = net.Listen("tcp", d.set.CallerAddress); err != nil {
 		return nil, failure.Wrap(failure.BadSetting, err, "--caller-address")
 	}
-	if d.adminL, err = net.Listen("tcp", d.set.AdminAddress); err != nil {
+	if d.adminListener, err = net.Listen("tcp", d.set.AdminAddress); err != nil {
 		return nil, failure.Wrap(failure.BadSetting, err, "--admin-address")
 	}
 	packets, err := d.listenControl()
 	if err != nil {
 		return nil, err
 	}
-	d.set.CallerAddress = d.callerL.Addr().String()
-	d.set.AdminAddress = d.adminL.Addr().String()
-	d.set.ControlAddress = d.control.Addr().String()
+	d.set.CallerAddress = d.callerListener.Addr().String()
+	d.set.AdminAddress = d.adminListener.Addr().String()
+	d.set.ControlAddress = d.controlListener.Addr().String()
 	if d.set.AdvertiseControl == "" {
 		d.set.AdvertiseControl = d.set.ControlAddress
 	}
 	return packets, nil
 }
 
-// listenControl opens one port for TCP and UDP. A port that the system chose
-// for TCP can be taken for UDP; then another one is tried.
+// listenControl opens one port for TCP and UDP. A port that the system chose for
+// TCP may be in use for UDP; listenControl then tries another one.
 func (d *Daemon) listenControl() (net.PacketConn, error) {
-	const tries = 16
+	const maxAttempts = 16
 	var err error
-	for range tries {
-		if d.control, err = net.Listen("tcp", d.set.ControlAddress); err != nil {
+	for range maxAttempts {
+		if d.controlListener, err = net.Listen("tcp", d.set.ControlAddress); err != nil {
 			break
 		}
 		var packets net.PacketConn
-		if packets, err = net.ListenPacket("udp", d.control.Addr().String()); err == nil {
+		if packets, err = net.ListenPacket("udp", d.controlListener.Addr().String()); err == nil {
 			return packets, nil
 		}
-		_ = d.control.Close()
+		_ = d.controlListener.Close()
 	}
 	return nil, failure.Wrap(failure.BadSetting, err, "--control-address")
 }
@@ -154,7 +155,7 @@
 	}
 	d.members = member.NewTable(self, memberHorizon, d.events)
 	d.gossip = member.NewGossip(d.members, packets, d.set.Fleet, member.DefaultTiming(), d.seedAddresses, d.events)
-	d.platform = httpplatform.New(d.set.Platform, d.control.Addr().(*net.TCPAddr).IP, d.set.PlatformTimeout)
+	d.platform = httpplatform.New(d.set.Platform, d.controlListener.Addr().(*net.TCPAddr).IP, d.set.PlatformTimeout)
 	d.config = configsync.New(d.platform, d.platform, d.configFromPeers, d.events)
 	d.claims = claim.New(d.platform, d.events)
 	var factory backend.Factory
@@ -164,8 +165,8 @@
 		Members: d.members, Config: d.config, Backends: factory, Claims: d.claims, Events: d.events,
 	})
 	id := peer.Identity{Incarnation: d.inc, Host: d.set.Host, Fleet: d.set.Fleet}
-	d.peers = peer.NewManager(id, d.set.AdvertiseControl, d.serveStream, peerNews{d}, d.events, &d.traffic)
-	d.peers.DialFrom(d.control.Addr().(*net.TCPAddr).IP)
+	d.peers = peer.NewManager(id, d.set.AdvertiseControl, d.serveStream, peerObserver{d}, d.events, &d.traffic)
+	d.peers.DialFrom(d.controlListener.Addr().(*net.TCPAddr).IP)
 	d.homes.SetPeers(d.peers)
 	d.holder.SetPeers(d.peers)
 }
@@ -173,7 +174,7 @@
 func (d *Daemon) buildServers() error {
 	api, err := callerapi.New(callerapi.Dependencies{
 		Config: d.config, Members: d.members, Holder: d.holder, Events: d.events,
-		AdmissionCheck: d.gate, Meter: callerapi.NewMeter(d.metrics),
+		AdmissionCheck: d.admit, Meter: callerapi.NewMeter(d.metrics),
 	})
 	if err != nil {
 		return err
@@ -192,7 +193,7 @@
 	}
 }
 
-// serveStream hands a stream of another host to the duty it is for.
+// serveStream passes a stream from another host to the component for its kind.
 func (d *Daemon) serveStream(st *peer.Stream) {
 	switch st.Open.Kind {
 	case wire.StreamKind_STREAM_CELL:
@@ -208,31 +209,30 @@
 	}
 }
 
-// Addresses returns what this host listens on: callers, control, admin.
+// Addresses returns the addresses that this host listens on.
 func (d *Daemon) Addresses() (caller, control, admin string) {
 	return d.set.CallerAddress, d.set.ControlAddress, d.set.AdminAddress
 }
 
-// Incarnation returns the name of this process start.
+// Incarnation returns the random id of this process.
 func (d *Daemon) Incarnation() ident.Incarnation { return d.inc }
 
-// Run serves until ctx ends, which stops the host at once, or until a drain
-// has ended.
+// Run serves until the end of a drain. If ctx ends, it stops immediately.
 func (d *Daemon) Run(ctx context.Context) {
 	run, stop := context.WithCancel(ctx)
 	defer stop()
-	d.duties.Go(func() { d.gossip.Run(run) })
-	d.duties.Go(func() { d.config.Run(run) })
-	d.duties.Go(func() { d.watchConfig(run) })
-	d.duties.Go(func() { d.claims.Run(run) })
-	d.duties.Go(func() { d.homes.Run(run) })
-	d.duties.Go(func() { d.holder.Run(run) })
-	d.duties.Go(func() { d.pollHostList(run) })
-	d.duties.Go(func() { d.watchIsolation(run) })
-	d.duties.Go(func() { d.sampleMetrics(run) })
-	d.duties.Go(func() { d.peers.Serve(d.control) })
-	d.duties.Go(func() { _ = d.callerServer.Serve(d.callerL) }) // ends with Close below
-	d.duties.Go(func() { _ = d.adminServer.Serve(d.adminL) })   // ends with Close below
+	d.goroutines.Go(func() { d.gossip.Run(run) })
+	d.goroutines.Go(func() { d.config.Run(run) })
+	d.goroutines.Go(func() { d.watchConfig(run) })
+	d.goroutines.Go(func() { d.claims.Run(run) })
+	d.goroutines.Go(func() { d.homes.Run(run) })
+	d.goroutines.Go(func() { d.holder.Run(run) })
+	d.goroutines.Go(func() { d.pollHostList(run) })
+	d.goroutines.Go(func() { d.watchIsolation(run) })
+	d.goroutines.Go(func() { d.sampleMetrics(run) })
+	d.goroutines.Go(func() { d.peers.Serve(d.controlListener) })
+	d.goroutines.Go(func() { _ = d.callerServer.Serve(d.callerListener) }) // ends with Close below
+	d.goroutines.Go(func() { _ = d.adminServer.Serve(d.adminListener) })   // ends with Close below
 	d.events.Record(event.ProcessStarted, event.Fields{Detail: "incarnation " + d.inc.String() +
 		" callers " + d.set.CallerAddress + " control " + d.set.ControlAddress + " admin " + d.set.AdminAddress})
 	select {
@@ -246,19 +246,19 @@
 func (d *Daemon) close() {
 	_ = d.callerServer.Close()
 	_ = d.adminServer.Close()
-	_ = d.control.Close()
+	_ = d.controlListener.Close()
 	d.cancel()
 	d.peers.Close()
 	d.platform.Close()
 	d.backends.CloseIdleConnections()
-	d.duties.Wait()
+	d.goroutines.Wait()
 	d.events.Record(event.ProcessStopped, event.Fields{})
 }
 
-// gate tells whether this host takes new requests.
-func (d *Daemon) gate() error {
+// admit returns an error if this host does not accept new requests.
+func (d *Daemon) admit() error {
 	switch {
-	case d.refusing.Load():
+	case d.refuseNew.Load():
 		return failure.Retry(failure.Leaving, time.Second, "this host drains; look the service up again")
 	case d.isolated.Load():
 		return failure.Retry(failure.Isolated, time.Second, "this host reaches neither the table service nor a peer; use another host")
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// watchIsolation notices that this host is cut off from everything that could
-// tell it of a newer configuration.
+// watchIsolation marks this host as isolated when nothing answers that could
+// notify it of a newer configuration.
 func (d *Daemon) watchIsolation(ctx context.Context) {
 	tick := time.NewTicker(isolationLimit / 10)
 	defer tick.Stop()
@@ -277,14 +277,14 @@
 		case <-ctx.Done():
 			return
 		}
-		newest := d.config.LastStore()
-		if peers := d.gossip.LastAnswer(); peers.After(newest) {
-			newest = peers
+		lastAnswer := d.config.LastStore()
+		if lastPeerAnswer := d.gossip.LastAnswer(); lastPeerAnswer.After(lastAnswer) {
+			lastAnswer = lastPeerAnswer
 		}
-		cut := time.Since(newest) > isolationLimit
-		if was := d.isolated.Swap(cut); was != cut {
+		timedOut := time.Since(lastAnswer) > isolationLimit
+		if was := d.isolated.Swap(timedOut); was != timedOut {
 			code := event.HostRejoined
-			if cut {
+			if timedOut {
 				code = event.HostIsolated
 			}
 			d.events.Record(code, event.Fields{})
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -7,14 +7,16 @@
 	"github.com/gentianflow/gentianflow/internal/member"
 )
 
-// StartDrain begins a graceful shutdown; Run returns when it has ended.
+// StartDrain begins a graceful shutdown; Run returns at its end.
 //
-// The order keeps every promise: look-ups stop naming this host at once and
-// its cells move with their ledgers; callers that still have the address are
-// served for the look-up's TTL; then new requests are refused as not run; the
-// process ends when the last request in progress has its final word.
+// The order preserves the guarantees to callers. Lookups omit this host
+// immediately, and its cells move to other hosts with their ledgers (the records
+// of request ids). Callers that still have the address are served until the
+// lookup TTL has passed. After that, new requests are refused as not run. The
+// process ends when the last request in progress has its final result, or at the
+// drain limit.
 func (d *Daemon) StartDrain() {
-	d.drain.Do(func() {
+	d.drainOnce.Do(func() {
 		d.events.Record(event.ProcessDraining, event.Fields{})
 		d.members.SetLeaving()
 		go d.finishDrain()
@@ -23,15 +25,15 @@
 
 func (d *Daemon) finishDrain() {
 	time.Sleep(d.lookupTTL())
-	d.refusing.Store(true)
+	d.refuseNew.Store(true)
 	limit := time.Now().Add(d.set.DrainLimit)
 	for d.busy() && (d.set.DrainLimit == 0 || time.Now().Before(limit)) {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	close(d.drained)
 }
 
-// busy reports whether a request here has no final word yet, a caller has not
+// busy reports whether a request here has no final result yet, a caller has not
 // read its answer, or a cell has not moved although another host could take it.
 func (d *Daemon) busy() bool {
 	if d.holder.InProgress() > 0 || d.holder.Readers() > 0 {
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -16,7 +16,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// seedAddresses lists control addresses from the settings and the host list.
+// seedAddresses returns the control addresses from the settings and the host
+// list.
 func (d *Daemon) seedAddresses() []string {
 	seeds := append([]string(nil), d.set.Seeds...)
 	if listed := d.seeds.Load(); listed != nil {
@@ -25,11 +26,11 @@
 	return seeds
 }
 
-// pollHostList reads the platform's list of hosts: entry hosts become seeds,
-// leaving backend servers get no new work, and when this host itself is
-// listed as leaving it drains.
+// pollHostList polls the platform's list of hosts. Entry hosts become seeds of the
+// membership, leaving backend servers get no new requests, and this host drains
+// when it is itself listed as leaving.
 func (d *Daemon) pollHostList(ctx context.Context) {
-	tick := time.NewTicker(hostListPeriod)
+	tick := time.NewTicker(hostListInterval)
 	defer tick.Stop()
 	failed := false
 	for {
@@ -39,7 +40,7 @@
 		}
 		failed = err != nil
 		if err == nil {
-			d.takeHostList(hosts)
+			d.applyHostList(hosts)
 		}
 		select {
 		case <-tick.C:
@@ -49,7 +50,7 @@
 	}
 }
 
-func (d *Daemon) takeHostList(hosts []platform.Host) {
+func (d *Daemon) applyHostList(hosts []platform.Host) {
 	var seeds []string
 	leaving := map[string]bool{}
 	for _, h := range hosts {
@@ -66,8 +67,8 @@
 	d.homes.SetLeavingServers(leaving)
 }
 
-// watchConfig tells the fleet which version is in force here, and looks for a
-// newer one as soon as a peer tells of it.
+// watchConfig reports the configuration version in force here to the fleet, and
+// requests a newer one as soon as a peer reports it.
 func (d *Daemon) watchConfig(ctx context.Context) {
 	members := d.members.Subscribe()
 	configs := d.config.Subscribe()
@@ -78,24 +79,25 @@
 		case <-ctx.Done():
 			return
 		}
-		mine := uint64(0)
+		version := uint64(0)
 		if c := d.config.Current(); c != nil {
-			mine = c.Version
+			version = c.Version
 		}
-		if d.members.Self().ConfigVersion != mine {
-			d.members.SetConfigVersion(mine)
+		if d.members.Self().ConfigVersion != version {
+			d.members.SetConfigVersion(version)
 		}
-		if len(d.newerPeers(mine)) > 0 {
+		if len(d.newerPeers(version)) > 0 {
 			d.config.Wake()
 		}
 	}
 }
 
-// newerPeers lists the members with a version above ours, newest first.
-func (d *Daemon) newerPeers(mine uint64) []member.Member {
+// newerPeers returns the members with a configuration version above the given
+// one, newest first.
+func (d *Daemon) newerPeers(version uint64) []member.Member {
 	var out []member.Member
 	for _, m := range d.members.All() {
-		if m.Incarnation != d.inc && m.State != member.Dead && m.ConfigVersion > mine {
+		if m.Incarnation != d.inc && m.State != member.Dead && m.ConfigVersion > version {
 			out = append(out, m)
 		}
 	}
@@ -103,25 +105,26 @@
 	return out
 }
 
-// configTries bounds how many peers are asked for a document in one go.
+// maxConfigPeers is the maximum number of peers that one call of configFromPeers
+// requests the configuration from; configTimeout limits each request.
 const (
-	configTries   = 3
-	configTimeout = 2 * time.Second
+	maxConfigPeers = 3
+	configTimeout  = 2 * time.Second
 )
 
 // configFromPeers implements configsync.PeerSource.
 func (d *Daemon) configFromPeers(ctx context.Context, above uint64) (uint64, string, []byte, error) {
 	peers := d.newerPeers(above)
-	for _, m := range peers[:min(configTries, len(peers))] {
-		reply, err := d.askConfig(ctx, m, above)
+	for _, m := range peers[:min(maxConfigPeers, len(peers))] {
+		reply, err := d.fetchConfig(ctx, m, above)
 		if err == nil && reply.Version > above {
 			return reply.Version, reply.ChangeId, reply.Document, nil
 		}
 	}
-	return 0, "", nil, failure.New(failure.PeerSilent, "no peer gave a configuration above version %d", above)
+	return 0, "", nil, failure.New(failure.PeerSilent, "no peer returned a configuration above version %d", above)
 }
 
-func (d *Daemon) askConfig(ctx context.Context, m member.Member, above uint64) (*wire.ConfigReply, error) {
+func (d *Daemon) fetchConfig(ctx context.Context, m member.Member, above uint64) (*wire.ConfigReply, error) {
 	st, err := d.peers.OpenStream(ctx, peer.Target{Address: m.ControlAddress, Incarnation: m.Incarnation}, wire.StreamKind_STREAM_CONFIG, "")
 	if err != nil {
 		return nil, err
@@ -146,12 +149,12 @@
 	if c, ok := d.config.Offer(req.Above); ok {
 		reply.Version, reply.ChangeId, reply.Document = c.Version, c.ChangeID, c.Text
 	}
-	_ = wire.Write(st, reply) // the asker tries another peer
+	_ = wire.Write(st, reply) // the requesting host tries another peer
 }
 
-const metricsPeriod = 1 * time.Second
+const metricsInterval = 1 * time.Second
 
-// sampleMetrics keeps the gauges of what this host holds.
+// sampleMetrics updates the gauges of this host.
 func (d *Daemon) sampleMetrics(ctx context.Context) {
 	records := metrics.GetOrRegisterGauge("holder.records", d.metrics)
 	open := metrics.GetOrRegisterGauge("holder.in_progress", d.metrics)
@@ -161,7 +164,7 @@
 	sent := metrics.GetOrRegisterGauge("control.sent_bytes", d.metrics)
 	received := metrics.GetOrRegisterGauge("control.received_bytes", d.metrics)
 	metrics.RegisterRuntimeMemStats(d.metrics)
-	tick := time.NewTicker(metricsPeriod)
+	tick := time.NewTicker(metricsInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -182,32 +185,34 @@
 	}
 }
 
-// peerNews takes what sessions tell about other hosts.
-type peerNews struct{ d *Daemon }
+// peerObserver forwards what sessions report about other hosts to the membership.
+type peerObserver struct{ d *Daemon }
 
 // ProveDead implements peer.Observer.
-func (n peerNews) ProveDead(inc ident.Incarnation, how string) { n.d.members.ProveDead(inc, how) }
+func (o peerObserver) ProveDead(inc ident.Incarnation, evidence string) {
+	o.d.members.ProveDead(inc, evidence)
+}
 
-// refuseTries and refuseTimeout bound the look at a host whose session broke.
+// These limits apply to the check of a host whose session broke.
 const (
-	refuseTries   = 3
-	refusePause   = 30 * time.Millisecond
-	refuseTimeout = 300 * time.Millisecond
+	portCheckAttempts = 3
+	portCheckPause    = 30 * time.Millisecond
+	portCheckTimeout  = 300 * time.Millisecond
 )
 
-// Broke implements peer.Observer. A process that dies ends its sessions and
-// its port refuses; asking the port at once proves the death milliseconds
-// after it, before the next probe would notice.
-func (n peerNews) Broke(inc ident.Incarnation) {
-	m, ok := n.d.members.Get(inc)
-	if !ok || m.Proved || inc == n.d.inc {
+// Broke implements peer.Observer. When a process dies, its sessions end and its
+// port refuses connections. Connecting to the port immediately proves the death
+// within milliseconds, before the next membership probe would detect it.
+func (o peerObserver) Broke(inc ident.Incarnation) {
+	m, ok := o.d.members.Get(inc)
+	if !ok || m.Proved || inc == o.d.inc {
 		return
 	}
-	for range refuseTries {
-		if member.Refuses(m.ControlAddress, refuseTimeout) {
-			n.d.members.ProveDead(inc, "its session ended and its port refuses")
+	for range portCheckAttempts {
+		if member.Refuses(m.ControlAddress, portCheckTimeout) {
+			o.d.members.ProveDead(inc, "its session ended and its port refuses connections")
 			return
 		}
-		time.Sleep(refusePause)
+		time.Sleep(portCheckPause)
 	}
 }
