--- a/cmd/gentiand/main.go
+++ b/cmd/gentiand/main.go
@@ -16,8 +16,8 @@
 
 // The exit codes, documented in docs/OPERATIONS.md.
 const (
-	exitFailure  = 1 // an address is taken or a duty could not be built
-	exitSettings = 2 // the settings are wrong; nothing was started
+	exitFailure  = 1 // an address is in use or a component could not be created
+	exitSettings = 2 // the settings are invalid; nothing was started
 )
 
 func main() {
@@ -31,10 +31,10 @@
 	return &cli.Command{
 		Name:  "gentiand",
 		Usage: "run one gentianflow entry host",
-		Description: "Takes requests of client accounts, schedules them over the backend servers\n" +
-			"and answers each once and whole. SIGTERM or SIGINT drains: requests in progress\n" +
-			"end first. A second signal stops at once. Each flag can be set by the environment\n" +
-			"variable named beside it.",
+		Description: "Accepts requests of client accounts, schedules them on the backend servers and\n" +
+			"returns each answer once and complete. SIGTERM or SIGINT drains the host: requests\n" +
+			"in progress finish first. A second signal stops it immediately. Each flag can also\n" +
+			"be set by the environment variable next to it.",
 		Flags:  settings.Flags(),
 		Action: run,
 	}
