--- a/cmd/gentianhost/main.go
+++ b/cmd/gentianhost/main.go
@@ -2,7 +2,7 @@
 // prepared platform.
 package main
 
-import "C" // links the program to the C library, as the platform asks
+import "C" // links the program to the C library, as the platform requires
 
 import (
 	"context"
@@ -25,8 +25,8 @@
 
 // The exit codes, documented in docs/OPERATIONS.md.
 const (
-	exitFailure  = 1 // an address is taken
-	exitSettings = 2 // the settings are wrong; nothing was started
+	exitFailure  = 1 // an address is in use
+	exitSettings = 2 // the settings are invalid; nothing was started
 )
 
 func main() {
@@ -40,11 +40,11 @@
 	return &cli.Command{
 		Name:  "gentianhost",
 		Usage: "run one gentianflow entry host on the prepared platform",
-		Description: "Reads the platform's settings file, whose path stands in the environment.\n" +
-			"SIGTERM shuts down: requests in progress end first. SIGHUP reads the settings anew.",
+		Description: "Reads the platform's settings file, whose path is in the environment.\n" +
+			"SIGTERM shuts the host down: requests in progress finish first. SIGHUP reloads the settings.",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "policy", Usage: "figures of the scheduler, name=value separated by commas; gentianctl platform policy lists them", Sources: cli.EnvVars("GENTIAN_POLICY")},
-			&cli.IntFlag{Name: "metrics-port", Usage: "port of the metrics address", Value: 7614},
+			&cli.StringFlag{Name: "policy", Usage: "parameters of the scheduler, name=value separated by commas; gentianctl platform policy lists them", Sources: cli.EnvVars("GENTIAN_POLICY")},
+			&cli.IntFlag{Name: "metrics-port", Usage: "port that serves the metrics", Value: 7614},
 		},
 		Action: run,
 	}
@@ -62,10 +62,10 @@
 	}
 	output := event.NewOutput(os.Stdout)
 	var logging sync.WaitGroup
-	logs, endLogs := context.WithCancel(context.Background())
-	logging.Go(func() { output.Run(logs) })
+	logCtx, stopLogging := context.WithCancel(context.Background())
+	logging.Go(func() { output.Run(logCtx) })
 	defer func() {
-		endLogs()
+		stopLogging()
 		logging.Wait()
 	}()
 	logger := log.With(log.NewLogfmtLogger(output), "ts", log.DefaultTimestampUTC, "host", set.Host)
@@ -79,14 +79,15 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	go func() {
 		for range reload {
-			again, err := platform.ReadSettings()
-			n.Reload(again, err)
+			reloaded, err := platform.ReadSettings()
+			n.Reload(reloaded, err)
 		}
 	}()
 	return n.Run(ctx)
 }
 
-// adapter joins the platform's store and dialects.
+// adapter returns the platform's store and its data and header formats as a
+// node.Platform.
 func adapter(address string) node.Platform {
 	s := platform.NewStore(address)
 	return node.Platform{
