--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -11,19 +11,19 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// BenchmarkDecision measures one request through the core: register, grant of
-// a waiting one when a place frees, finish. One operation is one request.
+// BenchmarkDecision measures one request through the core: register, grant of a
+// waiting request when a slot becomes free, finish. One operation is one request.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{20, 200} {
 		for _, waiting := range []int{100, 1000, 10000} {
 			b.Run(fmt.Sprintf("servers=%d/waiting=%d", servers, waiting), func(b *testing.B) {
-				decide(b, servers, waiting)
+				benchmarkDecisions(b, servers, waiting)
 			})
 		}
 	}
 }
 
-func decide(b *testing.B, servers, waiting int) {
+func benchmarkDecisions(b *testing.B, servers, waiting int) {
 	cell := core.NewCell(0, core.DefaultPolicy())
 	cfg := core.Configure{Waiting: waiting * 2, Horizon: time.Second}
 	for i := range servers {
@@ -36,14 +36,14 @@
 	now, next := core.Time(0), uint32(0)
 	var running []ident.RequestID
 	out := make([]core.Action, 0, 64)
-	take := func(actions []core.Action) {
+	collectGrants := func(actions []core.Action) {
 		for _, a := range actions {
 			if a.Kind == core.Grant {
 				running = append(running, a.ID)
 			}
 		}
 	}
-	ask := func() {
+	register := func() {
 		next++
 		id := ident.RequestID{12: byte(next >> 24), 13: byte(next >> 16), 14: byte(next >> 8), 15: byte(next)}
 		out = cell.Step(now, core.Register{Request: core.Request{
@@ -51,7 +51,7 @@
 			Prefix: prefix.Key(1 + r.IntN(300)), PrefixTokens: 2000, Whole: prefix.Key(1<<40 + uint64(next)),
 			Deadline: now.Add(time.Hour),
 		}}, out[:0])
-		take(out)
+		collectGrants(out)
 	}
 	for i := 0; cell.Waiting() < waiting; i++ {
 		if i > 40*(servers+waiting) {
@@ -59,10 +59,10 @@
 		}
 		now = now.Add(2 * time.Millisecond)
 		out = cell.Step(now, core.Heard{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
-		take(out)
+		collectGrants(out)
 		out = cell.Step(now, core.Tick{}, out[:0])
-		take(out)
-		ask()
+		collectGrants(out)
+		register()
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -70,16 +70,16 @@
 		now = now.Add(200 * time.Microsecond)
 		if i%1000 == 0 {
 			out = cell.Step(now, core.Heard{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
-			take(out)
+			collectGrants(out)
 		}
-		ask()
+		register()
 		if len(running) > 0 {
 			k := r.IntN(len(running))
 			id := running[k]
 			running[k] = running[len(running)-1]
 			running = running[:len(running)-1]
 			out = cell.Step(now, core.Finished{ID: id, Holder: holder, PromptTokens: 300, OutputTokens: 100, FirstToken: 20 * time.Millisecond, Total: time.Second}, out[:0])
-			take(out)
+			collectGrants(out)
 		}
 	}
 }
--- a/internal/core/cache.go
+++ b/internal/core/cache.go
@@ -6,30 +6,30 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// cacheModel is what the home believes a server's prefix cache holds: what
-// was dispatched there (at once), least recently used out first, corrected
-// by the server's cache events (late, with gaps).
+// cacheModel is the home's model of a server's prefix cache: the prefixes of
+// the requests dispatched there (recorded at once), evicted least recently used
+// first, and corrected by the server's cache events (late, with gaps).
 type cacheModel struct {
 	keys   map[prefix.Key]*list.Element
-	recent *list.List // of *cached, newest first
+	recent *list.List // of *cacheEntry, most recent first
 	tokens int
 }
 
-type cached struct {
-	key      prefix.Key
-	tokens   int
-	used     Time // last dispatch that used it
-	shared   bool // some request named it as its prefix
-	doubtful bool // a gap in the events may have hidden its eviction
+type cacheEntry struct {
+	key         prefix.Key
+	tokens      int
+	lastUsed    Time // newest dispatch that used it
+	shared      bool // some request had it as its prefix
+	unconfirmed bool // its eviction may be among lost events
 }
 
 func newCacheModel() cacheModel {
 	return cacheModel{keys: map[prefix.Key]*list.Element{}, recent: list.New()}
 }
 
-// holds reports whether the key is believed to be held. A doubtful entry
-// counts: a gap says that events were lost, not that the prefix is gone.
-func (c *cacheModel) holds(k prefix.Key) bool {
+// contains reports whether the key is believed to be cached. An unconfirmed
+// entry counts: lost events do not mean that the prefix is gone.
+func (c *cacheModel) contains(k prefix.Key) bool {
 	if k == 0 {
 		return false
 	}
@@ -37,21 +37,21 @@
 	return ok
 }
 
-// touch makes the key the newest and returns the keys pushed out of size
-// tokens, and whether the key is new.
+// touch makes the key the most recent one. It returns the keys evicted from a
+// cache of size tokens, and whether the key is new.
 func (c *cacheModel) touch(now Time, k prefix.Key, tokens, size int, shared bool) (evicted []prefix.Key, added bool) {
 	if k == 0 || tokens <= 0 {
 		return nil, false
 	}
 	if e, ok := c.keys[k]; ok {
 		c.recent.MoveToFront(e)
-		v := e.Value.(*cached)
-		v.used = now
-		v.doubtful = false
+		v := e.Value.(*cacheEntry)
+		v.lastUsed = now
+		v.unconfirmed = false
 		v.shared = v.shared || shared
 		return nil, false
 	}
-	c.keys[k] = c.recent.PushFront(&cached{key: k, tokens: tokens, used: now, shared: shared})
+	c.keys[k] = c.recent.PushFront(&cacheEntry{key: k, tokens: tokens, lastUsed: now, shared: shared})
 	c.tokens += tokens
 	for c.tokens > size && c.recent.Len() > 1 {
 		evicted = append(evicted, c.drop(c.recent.Back()))
@@ -59,76 +59,77 @@
 	return evicted, true
 }
 
-// evictLook bounds how many entries pushedOut looks at.
-const evictLook = 64
+// maxEvictionScan limits how many entries evictedTokens looks at.
+const maxEvictionScan = 64
 
-// pushedOut counts the tokens of shared prefixes that would leave a cache of
-// size tokens if as many more came in.
-func (c *cacheModel) pushedOut(tokens, size int) int {
-	free, lost := size-c.tokens, 0
-	for e, n := c.recent.Back(), 0; e != nil && free < tokens && n < evictLook; e, n = e.Prev(), n+1 {
-		v := e.Value.(*cached)
+// evictedTokens counts the tokens of shared prefixes that a cache of size
+// tokens would evict to take in tokens more.
+func (c *cacheModel) evictedTokens(tokens, size int) int {
+	free, evicted := size-c.tokens, 0
+	for e, n := c.recent.Back(), 0; e != nil && free < tokens && n < maxEvictionScan; e, n = e.Prev(), n+1 {
+		v := e.Value.(*cacheEntry)
 		free += v.tokens
 		if v.shared {
-			lost += v.tokens
+			evicted += v.tokens
 		}
 	}
-	return lost
+	return evicted
 }
 
 func (c *cacheModel) drop(e *list.Element) prefix.Key {
-	v := c.recent.Remove(e).(*cached)
+	v := c.recent.Remove(e).(*cacheEntry)
 	delete(c.keys, v.key)
 	c.tokens -= v.tokens
 	return v.key
 }
 
-// forget removes a key that the server evicted at a moment; it reports
-// whether the key was held. An eviction older than the last dispatch that
-// used the key says nothing: that dispatch computed the prefix again.
-func (c *cacheModel) forget(k prefix.Key, at Time) bool {
+// evict removes a key that the server evicted at a moment and reports whether
+// it was in the model. An eviction older than the newest dispatch that used the
+// key is ignored, because that dispatch computed the prefix again.
+func (c *cacheModel) evict(k prefix.Key, at Time) bool {
 	e, ok := c.keys[k]
-	if !ok || e.Value.(*cached).used > at {
+	if !ok || e.Value.(*cacheEntry).lastUsed > at {
 		return false
 	}
 	c.drop(e)
 	return true
 }
 
-// confirm takes the doubt from a key that the server says it stored.
+// confirm marks a key as confirmed after the server reported it as stored.
 func (c *cacheModel) confirm(k prefix.Key) {
 	if e, ok := c.keys[k]; ok {
-		e.Value.(*cached).doubtful = false
+		e.Value.(*cacheEntry).unconfirmed = false
 	}
 }
 
-// doubt marks everything after a gap: the marked ones may have been evicted
-// without our being told.
-func (c *cacheModel) doubt() {
+// markUnconfirmed marks all entries after a gap in the events: any of them may
+// have been evicted in the gap.
+func (c *cacheModel) markUnconfirmed() {
 	for e := c.recent.Front(); e != nil; e = e.Next() {
-		e.Value.(*cached).doubtful = true
+		e.Value.(*cacheEntry).unconfirmed = true
 	}
 }
 
-// all lists the keys, newest first.
+// all returns the keys, most recent first.
 func (c *cacheModel) all() []prefix.Key {
 	keys := make([]prefix.Key, 0, c.recent.Len())
 	for e := c.recent.Front(); e != nil; e = e.Next() {
-		keys = append(keys, e.Value.(*cached).key)
+		keys = append(keys, e.Value.(*cacheEntry).key)
 	}
 	return keys
 }
 
-// noteUse updates the cache model of s and the index of holders after r was
-// granted to s: its prefix is fresh, its own part joins.
-func (c *Cell) noteUse(now Time, s *server, r *Request) {
-	c.cacheTouch(now, s, r.Prefix, r.PrefixTokens, true)
+// recordUse updates the cache model of s and the prefix index after r was
+// granted to s: r's prefix becomes the most recent one and the rest of its
+// prompt is added.
+func (c *Cell) recordUse(now Time, s *server, r *Request) {
+	c.touchCache(now, s, r.Prefix, r.PrefixTokens, true)
 	if r.Whole != r.Prefix {
-		c.cacheTouch(now, s, r.Whole, r.PromptTokens-r.PrefixTokens, false)
+		c.touchCache(now, s, r.Whole, r.PromptTokens-r.PrefixTokens, false)
 	}
 }
 
-func (c *Cell) cacheTouch(now Time, s *server, k prefix.Key, tokens int, shared bool) {
+func (c *Cell) touchCache(now Time, s *server, k prefix.Key, tokens int, shared bool) {
 	evicted, added := s.cache.touch(now, k, tokens, s.spec.CacheTokens, shared)
 	for _, old := range evicted {
 		c.unindex(s, old)
@@ -138,38 +139,38 @@
 	}
 }
 
-// index enters s as a holder of k, for waiting requests too.
+// index records that s has k cached, also for the waiting requests.
 func (c *Cell) index(s *server, k prefix.Key) {
 	if !s.usable() {
 		return
 	}
-	c.holders[k] = append(c.holders[k], s)
+	c.cachingServers[k] = append(c.cachingServers[k], s)
 	for _, q := range c.tiers {
-		q.held(k, s)
+		q.addCachingServer(k, s)
 	}
 }
 
 func (c *Cell) unindex(s *server, k prefix.Key) {
-	left := remove(c.holders[k], s)
-	if len(left) == 0 {
-		delete(c.holders, k)
+	remaining := remove(c.cachingServers[k], s)
+	if len(remaining) == 0 {
+		delete(c.cachingServers, k)
 	} else {
-		c.holders[k] = left
+		c.cachingServers[k] = remaining
 	}
 	for _, q := range c.tiers {
-		q.unheldBy(k, s)
+		q.removeCachingServer(k, s)
 	}
 }
 
-// hide takes a server that became unusable out of the index, so that no
-// request waits for it; show brings it back with its cache.
-func (c *Cell) hide(s *server) {
+// unindexServer removes a server that became unusable from the prefix index, so
+// that no request waits for it. indexServer adds it again with its cache.
+func (c *Cell) unindexServer(s *server) {
 	for _, k := range s.cache.all() {
 		c.unindex(s, k)
 	}
 }
 
-func (c *Cell) show(s *server) {
+func (c *Cell) indexServer(s *server) {
 	for _, k := range s.cache.all() {
 		c.index(s, k)
 	}
@@ -181,13 +182,13 @@
 		return
 	}
 	if ev.Gap {
-		s.cache.doubt()
+		s.cache.markUnconfirmed()
 	}
 	for _, k := range ev.Stored {
 		s.cache.confirm(k)
 	}
 	for _, k := range ev.Evicted {
-		if s.cache.forget(k, now.Add(-ev.Age)) {
+		if s.cache.evict(k, now.Add(-ev.Age)) {
 			c.unindex(s, k)
 		}
 	}
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -8,64 +8,64 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// The limits of a cell before its first Configure.
+// The limits of a cell before its first Configure event.
 const (
 	defaultWaiting = 10000
 	defaultHorizon = 120 * time.Second
 )
 
-// Cell is the state of one home. One goroutine owns it; nothing in it is
-// safe for concurrent use.
+// Cell is the scheduler state that the home keeps for one service. One
+// goroutine owns it; it is not safe for concurrent use.
 type Cell struct {
-	policy  Policy
-	waiting int
-	horizon time.Duration
-	shares  map[ident.AccountID]float64
+	policy     Policy
+	maxWaiting int
+	horizon    time.Duration
+	shares     map[ident.AccountID]float64
 
-	servers  []*server // in inventory order, removed ones last until idle
-	byID     map[ident.ServerID]*server
-	tiers    []*tierQueue // most urgent first
-	timers   indexedHeap[*item]
-	holders  map[prefix.Key][]*server
-	ledger   ledger
-	live     []ident.Incarnation // members that may hold requests
-	sessions map[ident.Incarnation]*session
-	resends  map[ident.RequestID]*resend
-	parked   []*item // waiting, but their holder's clock is not fresh
-	orphans  []*run
+	servers        []*server // in the order of their first Configure
+	byID           map[ident.ServerID]*server
+	tiers          []*tierQueue // most urgent first
+	timers         indexedHeap[*item]
+	cachingServers map[prefix.Key][]*server
+	ledger         ledger
+	liveMembers    []ident.Incarnation // members that may hold requests
+	sessions       map[ident.Incarnation]*session
+	resends        map[ident.RequestID]*resend
+	parked         []*item // waiting requests of holders whose newest stamp is too old for a grant
+	orphans        []*run
 
-	openUntil Time
-	opened    bool
-	markNow   uint64 // see server.heldMark
-	best      bestCase
-	nextSeq   uint64
-	waitCount int
+	reportDeadline Time
+	grantsEnabled  bool
+	currentHitMark uint64 // see server.cacheHitMark
+	best           bestCase
+	nextSeq        uint64
+	waitCount      int
 
-	now Time     // of the running Step
-	out []Action // of the running Step
+	now Time     // time of the running Step
+	out []Action // actions of the running Step
 }
 
-// NewCell makes the home's state at the moment it opens. Grants begin when
-// all live members have reported, or after OpenWait.
+// NewCell returns the state of a home that opens now. Grants begin when all
+// live members have reported, or after ReportTimeout.
 func NewCell(now Time, p Policy) *Cell {
 	c := &Cell{
-		policy: p, waiting: defaultWaiting, horizon: defaultHorizon,
-		shares:    map[ident.AccountID]float64{},
-		byID:      map[ident.ServerID]*server{},
-		holders:   map[prefix.Key][]*server{},
-		ledger:    newLedger(),
-		sessions:  map[ident.Incarnation]*session{},
-		resends:   map[ident.RequestID]*resend{},
-		openUntil: now.Add(OpenWait),
+		policy: p, maxWaiting: defaultWaiting, horizon: defaultHorizon,
+		shares:         map[ident.AccountID]float64{},
+		byID:           map[ident.ServerID]*server{},
+		cachingServers: map[prefix.Key][]*server{},
+		ledger:         newLedger(),
+		sessions:       map[ident.Incarnation]*session{},
+		resends:        map[ident.RequestID]*resend{},
+		reportDeadline: now.Add(ReportTimeout),
 	}
 	c.timers = indexedHeap[*item]{
-		less:  func(a, b *item) bool { return a.timerAt < b.timerAt },
-		moved: func(it *item, i int) { it.inTimer = i },
+		less:     func(a, b *item) bool { return a.timerAt < b.timerAt },
+		setIndex: func(it *item, i int) { it.timerIndex = i },
 	}
 	return c
 }
 
-// Step applies one event and appends the actions it leads to.
+// Step applies one event and appends the resulting actions to out.
 func (c *Cell) Step(now Time, ev Event, out []Action) []Action {
 	c.now, c.out = now, out
 	c.apply(ev)
@@ -100,7 +100,8 @@
 	}
 }
 
-// applyRare handles what happens when hosts, servers or rules change.
+// applyRare handles the less frequent events: changes of hosts, servers and
+// configuration.
 func (c *Cell) applyRare(ev Event) {
 	switch e := ev.(type) {
 	case Configure:
@@ -129,23 +130,23 @@
 func (c *Cell) server(id ident.ServerID) *server { return c.byID[id] }
 
 func (c *Cell) configure(e Configure) {
-	c.waiting, c.horizon = e.Waiting, e.Horizon
+	c.maxWaiting, c.horizon = e.Waiting, e.Horizon
 	clear(c.shares)
 	for _, s := range e.Shares {
 		c.shares[s.Account] = s.Share
 	}
-	named := map[ident.ServerID]bool{}
+	listed := map[ident.ServerID]bool{}
 	for _, spec := range e.Servers {
-		named[spec.ID] = true
+		listed[spec.ID] = true
 		c.configureServer(spec)
 	}
 	for _, s := range append([]*server(nil), c.servers...) {
-		if !named[s.id()] {
+		if !listed[s.id()] {
 			c.signal(s.id(), SignalRemove)
-			c.dropServer(s)
+			c.removeServer(s)
 		}
 	}
-	c.best = c.findBest()
+	c.best = c.findBestCase()
 	c.fillAll()
 }
 
@@ -164,9 +165,10 @@
 	}
 }
 
-// dropServer forgets a removed server. Its runs end at their holders, whose
-// Finished events then find no run and only close the ledger entry.
-func (c *Cell) dropServer(s *server) {
+// removeServer deletes a server that left the inventory. Its runs end at their
+// holders, whose Finished events then find no run and only close the ledger
+// entry.
+func (c *Cell) removeServer(s *server) {
 	for _, r := range s.runs {
 		if e := c.ledger.get(r.item.req.ID); e != nil {
 			e.run = nil
@@ -187,41 +189,41 @@
 	return kept
 }
 
-// signal moves a server through its chart and keeps the prefix index to
-// usable servers.
+// signal fires an event of a server's state chart and keeps only usable
+// servers in the prefix index.
 func (c *Cell) signal(id ident.ServerID, sig chart.Event) {
 	s := c.server(id)
 	if s == nil {
 		return
 	}
-	before := s.machine.State()
-	was := s.usable()
-	if s.machine.Fire(sig) != nil || s.machine.State() == before {
-		return // the chart knows no such step from here: nothing changes
+	oldState := s.machine.State()
+	wasUsable := s.usable()
+	if s.machine.Fire(sig) != nil || s.machine.State() == oldState {
+		return // no transition from this state
 	}
-	c.best = c.findBest()
-	if was && !s.usable() {
-		c.hide(s)
+	c.best = c.findBestCase()
+	if wasUsable && !s.usable() {
+		c.unindexServer(s)
 	}
-	if !was && s.usable() {
+	if !wasUsable && s.usable() {
 		s.stalled = 0
-		c.show(s)
+		c.indexServer(s)
 		c.fill(s)
 	}
 	c.emit(Action{Kind: ServerChanged, Server: id, State: s.machine.State()})
 }
 
-// serverRestarted empties what is believed of a server whose process is new.
-// Its runs end at their holders, who find the streams gone.
+// serverRestarted resets the state of a server whose process is new. Its runs
+// end at their holders, which find the streams closed.
 func (c *Cell) serverRestarted(id ident.ServerID) {
 	s := c.server(id)
 	if s == nil {
 		return
 	}
-	c.hide(s)
+	c.unindexServer(s)
 	s.cache = newCacheModel()
-	s.foreign, s.drifted = 0, 0
-	s.prefillFree = c.now
+	s.foreign, s.excessReports = 0, 0
+	s.prefillEndsAt = c.now
 	s.prefillScale, s.decodeScale = 1, 1
 }
 
@@ -232,25 +234,26 @@
 	}
 }
 
-// loadReport is also a sign of life: a suspect server that reports is up.
+// loadReport applies a load report. It also proves that a suspect server is
+// up.
 func (c *Cell) loadReport(e LoadReport) {
 	s := c.server(e.Server)
 	if s == nil {
 		return
 	}
-	s.correct(c.now, e)
+	s.applyLoadReport(c.now, e)
 	if s.machine.State() == "suspect" {
 		c.signal(e.Server, SignalRecover)
 	}
 }
 
 func (c *Cell) tick() {
-	c.open()
+	c.enableGrants()
 	for _, s := range c.servers {
-		s.forget(c.now)
+		s.decayScales(c.now)
 	}
-	c.best = c.findBest()
-	c.fireTimers()
+	c.best = c.findBestCase()
+	c.processTimers()
 	c.expireOrphans()
 	c.ledger.expire(c.now, c.horizon)
 	c.expireResends()
@@ -258,31 +261,32 @@
 	c.fillAll()
 }
 
-// open starts granting once every live member has reported, or when the wait
-// for their reports is over.
-func (c *Cell) open() {
-	if c.opened {
+// enableGrants starts granting once every live member has reported or
+// reportDeadline has passed.
+func (c *Cell) enableGrants() {
+	if c.grantsEnabled {
 		return
 	}
-	if c.now < c.openUntil {
-		for _, inc := range c.live {
+	if c.now < c.reportDeadline {
+		for _, inc := range c.liveMembers {
 			if s := c.sessions[inc]; s == nil || !s.reported {
 				return
 			}
 		}
-		if len(c.live) == 0 {
+		if len(c.liveMembers) == 0 {
 			return
 		}
 	}
-	c.opened = true
+	c.grantsEnabled = true
 }
 
-// expireOrphans frees the places of requests whose holder died, at their
-// predicted end: nobody reports it, and the server may well have gone on.
+// expireOrphans frees the slots of requests whose holder died at their
+// predicted end: nobody reports the end, and the server may have continued
+// the request.
 func (c *Cell) expireOrphans() {
 	kept := c.orphans[:0]
 	for _, r := range c.orphans {
-		if c.now < r.predicted.Add(OrphanGrace) {
+		if c.now < r.predictedEnd.Add(OrphanGrace) {
 			kept = append(kept, r)
 			continue
 		}
@@ -294,11 +298,10 @@
 	c.orphans = kept
 }
 
-// Waiting returns how many requests wait, and Running how many are granted
-// and not finished.
+// Waiting returns the number of waiting requests.
 func (c *Cell) Waiting() int { return c.waitCount }
 
-// Running returns how many granted requests have not finished.
+// Running returns the number of granted requests that have not finished.
 func (c *Cell) Running() int {
 	n := 0
 	for _, s := range c.servers {
@@ -307,17 +310,18 @@
 	return n
 }
 
-// Pressure is the work that waits, as time that the usable servers need for
-// it; look-ups and status show it.
-func (c *Cell) Pressure() time.Duration { return c.backlogTime(maxTier) }
+// BacklogTime returns the time that the usable servers need for all waiting
+// work.
+func (c *Cell) BacklogTime() time.Duration { return c.backlogTime(maxTier) }
 
-// TierCount is the queue of one tier, for status.
+// TierCount is the queue length of one tier, for status.
 type TierCount struct {
 	Tier    int `json:"tier"`
 	Waiting int `json:"waiting"`
 }
 
-// Tiers lists how many requests wait in each tier, most urgent first.
+// Tiers returns the number of waiting requests of each tier, most urgent
+// first.
 func (c *Cell) Tiers() []TierCount {
 	out := make([]TierCount, 0, len(c.tiers))
 	for _, q := range c.tiers {
@@ -332,7 +336,8 @@
 	return out
 }
 
-// ServerStatus is the home's view of one server, for status.
+// ServerStatus is the home's view of one server, for status. Foreign is the
+// smoothed number of requests at the server that did not come from this cell.
 type ServerStatus struct {
 	ID           ident.ServerID `json:"id"`
 	State        string         `json:"state"`
@@ -343,7 +348,7 @@
 	CachedTokens int            `json:"cached_tokens"`
 }
 
-// Servers lists the home's view of its servers.
+// Servers returns the status of all servers.
 func (c *Cell) Servers() []ServerStatus {
 	out := make([]ServerStatus, 0, len(c.servers))
 	for _, s := range c.servers {
--- a/internal/core/heap.go
+++ b/internal/core/heap.go
@@ -1,11 +1,11 @@
 package core
 
-// indexedHeap is a binary heap whose items know their place, so that any of
+// indexedHeap is a binary heap whose items know their index, so that any of
 // them can be removed or moved in O(log n).
 type indexedHeap[T any] struct {
-	items []T
-	less  func(a, b T) bool
-	moved func(v T, i int) // i is the new place, -1 when v left the heap
+	items    []T
+	less     func(a, b T) bool
+	setIndex func(v T, i int) // i is the new index, -1 when v left the heap
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
@@ -14,7 +14,7 @@
 
 func (h *indexedHeap[T]) push(v T) {
 	h.items = append(h.items, v)
-	h.moved(v, len(h.items)-1)
+	h.setIndex(v, len(h.items)-1)
 	h.up(len(h.items) - 1)
 }
 
@@ -25,7 +25,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.moved(v, -1)
+	h.setIndex(v, -1)
 	if i < last {
 		h.fix(i)
 	}
@@ -42,8 +42,8 @@
 		return
 	}
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.moved(h.items[i], i)
-	h.moved(h.items[j], j)
+	h.setIndex(h.items[i], i)
+	h.setIndex(h.items[j], j)
 }
 
 func (h *indexedHeap[T]) up(i int) {
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -6,31 +6,31 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// entry is the ledger's line for one id: who holds it and how far it got.
-// An id that was granted stays for the horizon, so it is never granted to
-// another holder; a waiting one leaves when it is shed or withdrawn.
+// entry is the ledger's entry for one id: its holder and its progress. An id
+// that was granted stays for the horizon, so that it is never granted to another
+// holder. A waiting id is removed when it is shed or withdrawn.
 type entry struct {
 	id     ident.RequestID
 	holder ident.Incarnation
 	server ident.ServerID
 	state  LedgerState
-	// attempt is the holder's attempt that was granted; 0 when known from a
-	// report only.
+	// attempt is the holder's attempt that was granted; 0 when the entry is known
+	// from a report only.
 	attempt uint32
 	since   Time
 	item    *item // while waiting
 	run     *run  // while granted
 }
 
-type mark struct {
+type transition struct {
 	id ident.RequestID
 	at Time
 }
 
-// ledger maps ids to entries and forgets them past the horizon.
+// ledger maps ids to entries and deletes them after the horizon.
 type ledger struct {
-	entries map[ident.RequestID]*entry
-	closed  []mark // in order of time: when an entry was granted or done
+	entries     map[ident.RequestID]*entry
+	transitions []transition // in order of time: entries that became granted or done
 }
 
 func newLedger() ledger { return ledger{entries: map[ident.RequestID]*entry{}} }
@@ -48,58 +48,58 @@
 		l.entries[r.ID] = e
 	}
 	e.item, e.run, e.server, e.attempt = nil, run, run.server.id(), r.Attempt
-	l.set(now, e, LedgerGranted)
+	l.setState(now, e, LedgerGranted)
 }
 
 func (l *ledger) done(now Time, e *entry) {
 	e.run = nil
-	l.set(now, e, LedgerDone)
+	l.setState(now, e, LedgerDone)
 }
 
-func (l *ledger) set(now Time, e *entry, s LedgerState) {
+func (l *ledger) setState(now Time, e *entry, s LedgerState) {
 	e.state, e.since = s, now
-	l.closed = append(l.closed, mark{id: e.id, at: now})
+	l.transitions = append(l.transitions, transition{id: e.id, at: now})
 }
 
-// adopt takes an entry from a report or an inherited ledger. What is known
-// already is never set back.
+// adopt merges an entry from a report or an inherited ledger. The state of a
+// known entry never goes back.
 func (l *ledger) adopt(now Time, in LedgerEntry) *entry {
 	e := l.entries[in.ID]
 	if e == nil {
 		e = &entry{id: in.ID, holder: in.Holder, server: in.Server}
 		l.entries[in.ID] = e
-		l.set(now, e, in.State)
+		l.setState(now, e, in.State)
 		return e
 	}
 	if in.State > e.state && e.holder == in.Holder {
 		e.server = in.Server
-		l.set(now, e, in.State)
+		l.setState(now, e, in.State)
 	}
 	return e
 }
 
 func (l *ledger) forget(id ident.RequestID) { delete(l.entries, id) }
 
-// expire drops entries whose last change is older than the horizon. Runs
-// still in progress stay.
+// expire deletes entries whose last change is older than the horizon. Entries
+// of runs in progress stay.
 func (l *ledger) expire(now Time, horizon time.Duration) {
 	n := 0
-	for ; n < len(l.closed) && now.Sub(l.closed[n].at) > horizon; n++ {
-		m := l.closed[n]
+	for ; n < len(l.transitions) && now.Sub(l.transitions[n].at) > horizon; n++ {
+		m := l.transitions[n]
 		e := l.entries[m.id]
 		if e != nil && e.since == m.at && e.state != LedgerWaiting && e.run == nil {
 			delete(l.entries, m.id)
 		}
 	}
 	if n > 0 {
-		l.closed = append(l.closed[:0], l.closed[n:]...)
+		l.transitions = append(l.transitions[:0], l.transitions[n:]...)
 	}
 }
 
-// export lists the ledger for the next home: everything granted or done.
+// export returns the entries for the next home: everything granted or done.
 func (l *ledger) export() []LedgerEntry {
 	var out []LedgerEntry
-	for _, m := range l.closed {
+	for _, m := range l.transitions {
 		e := l.entries[m.id]
 		if e == nil || e.since != m.at || e.state == LedgerWaiting {
 			continue
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -9,8 +9,8 @@
 
 const maxTier = math.MaxInt
 
-// tier returns the queue of a tier number, made on first use. Ranks follow
-// the order of the tiers in use.
+// tier returns the queue of a tier number and creates it on first use. Ranks
+// follow the order of the tiers in use.
 func (c *Cell) tier(number int) *tierQueue {
 	at := len(c.tiers)
 	for i, q := range c.tiers {
@@ -30,30 +30,30 @@
 	return q
 }
 
-// rerank numbers the tiers anew and moves the servers' ready lists along.
+// rerank renumbers the tiers and rebuilds the servers' lists of cached groups.
 func (c *Cell) rerank() {
 	for i, q := range c.tiers {
 		q.rank = i
 	}
 	for _, s := range c.servers {
-		old := s.ready
-		s.ready, s.readyItems = nil, nil
+		old := s.cachedGroups
+		s.cachedGroups, s.cachedWaiting = nil, nil
 		for _, groups := range old {
 			for _, g := range groups {
-				s.addReady(g)
+				s.addCachedGroup(g)
 			}
 		}
 	}
 }
 
-// room reports whether s may take one more request of a tier now.
-func (c *Cell) room(s *server, rank int) bool {
+// hasRoom reports whether s may take one more request of a tier now.
+func (c *Cell) hasRoom(s *server, rank int) bool {
 	if !s.usable() {
 		return false
 	}
 	reserve := c.policy.Headroom * rank
 	if s.spec.MaxSequences < 4*reserve {
-		reserve = 0 // a server with few places cannot spare any
+		reserve = 0 // a server with few slots cannot reserve any
 	}
 	if s.load()+1 > float64(s.spec.MaxSequences-reserve) {
 		return false
@@ -65,43 +65,43 @@
 	return s.backlog(c.now) <= limit
 }
 
-// choose returns the server with room and the least predicted cost for r, or
-// nil when waiting for another server is cheaper or none has room. Cost is
-// the predicted end, with prefix tokens priced at MissPrice when another
-// usable server holds them: a miss there also pushes a prefix out of a
-// cache. A full server costs the wait for a place as well.
-func (c *Cell) choose(r *Request, rank int) *server {
-	holders := c.holders[r.Prefix]
-	c.markNow++
-	for _, s := range holders {
-		s.heldMark = c.markNow
+// chooseServer returns the server with room and the lowest predicted cost for
+// r. It returns nil when none has room or waiting for another server is
+// cheaper. The cost is the predicted end; prefix tokens that another usable
+// server has cached are priced at MissPrice, because a miss also evicts a
+// prefix from a cache. For a full server the wait for a slot is added.
+func (c *Cell) chooseServer(r *Request, rank int) *server {
+	cachingServers := c.cachingServers[r.Prefix]
+	c.currentHitMark++
+	for _, s := range cachingServers {
+		s.cacheHitMark = c.currentHitMark
 	}
 	var best *server
-	bestCost, bestFull := time.Duration(math.MaxInt64), time.Duration(math.MaxInt64)
+	bestCost, bestFullCost := time.Duration(math.MaxInt64), time.Duration(math.MaxInt64)
 	for _, s := range c.servers {
 		if !s.usable() {
 			continue
 		}
-		cost := c.cost(s, r, len(holders) > 0)
-		if !c.room(s, rank) {
-			bestFull = min(bestFull, cost+c.waitForPlace(s, rank))
+		cost := c.cost(s, r, len(cachingServers) > 0)
+		if !c.hasRoom(s, rank) {
+			bestFullCost = min(bestFullCost, cost+c.waitForSlot(s, rank))
 			continue
 		}
 		if cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
-	if bestFull < bestCost {
+	if bestFullCost < bestCost {
 		return nil
 	}
 	return best
 }
 
-// cost predicts r's end on s, with a miss and what it pushes out at their
-// prices. Both are priced at speed 1: what they cost the cell is cache room,
-// which has nothing to do with the speed of s.
-func (c *Cell) cost(s *server, r *Request, held bool) time.Duration {
-	if s.heldMark == c.markNow {
+// cost predicts r's end on s and adds the prices of a miss and of the prefixes
+// it evicts. Both are priced at speed 1, because they cost the cell cache
+// space, which does not depend on the speed of s.
+func (c *Cell) cost(s *server, r *Request, cachedElsewhere bool) time.Duration {
+	if s.cacheHitMark == c.currentHitMark {
 		return s.predictMiss(c.now, r, max(1, r.PromptTokens-r.PrefixTokens)).total
 	}
 	cost := s.predictMiss(c.now, r, r.PromptTokens).total
@@ -109,85 +109,88 @@
 		return cost
 	}
 	price := time.Duration(0)
-	if held {
-		price = computeAtOne(r.PrefixTokens, c.policy.MissPrice)
-	}
-	lost := s.cache.pushedOut(r.PromptTokens, s.spec.CacheTokens)
-	price += computeAtOne(lost, c.policy.EvictPrice)
-	// The caller waits for what the cell saves, so its deadline bounds it.
-	most := time.Duration(float64(r.Deadline.Sub(c.now)) * c.policy.PriceShare)
-	return cost + min(price, max(0, most))
+	if cachedElsewhere {
+		price = prefillAtUnitSpeed(r.PrefixTokens, c.policy.MissPrice)
+	}
+	evicted := s.cache.evictedTokens(r.PromptTokens, s.spec.CacheTokens)
+	price += prefillAtUnitSpeed(evicted, c.policy.EvictPrice)
+	// The caller waits for what the cell saves, so its deadline limits the price.
+	maxPrice := time.Duration(float64(r.Deadline.Sub(c.now)) * c.policy.PriceShare)
+	return cost + min(price, max(0, maxPrice))
 }
 
-// computeAtOne is the prefill of tokens at speed 1, times a price.
-func computeAtOne(tokens int, price float64) time.Duration {
-	return time.Duration(float64(prefillStep) * float64(tokens) / chunkTokens * price)
+// prefillAtUnitSpeed returns the prefill time of tokens at speed 1, times a
+// price.
+func prefillAtUnitSpeed(tokens int, price float64) time.Duration {
+	return time.Duration(float64(prefillStepTime) * float64(tokens) / chunkTokens * price)
 }
 
-// waitForPlace estimates how long a request of a tier waits for s: places
-// free up evenly over the running requests, after those ahead in the queue.
-func (c *Cell) waitForPlace(s *server, rank int) time.Duration {
+// waitForSlot estimates how long a request of a tier waits for s. Slots become
+// free evenly over the running requests, and the requests ahead in the queue
+// take them first.
+func (c *Cell) waitForSlot(s *server, rank int) time.Duration {
 	ahead := 1
-	for i := 0; i <= rank && i < len(s.readyItems); i++ {
-		ahead += s.readyItems[i]
+	for i := 0; i <= rank && i < len(s.cachedWaiting); i++ {
+		ahead += s.cachedWaiting[i]
 	}
 	n := max(1, len(s.runs))
-	left := max(0, (s.endSum - c.now*Time(n)).Sub(0))
-	mean := left / time.Duration(n)
+	remaining := max(0, (s.predictedEndSum - c.now*Time(n)).Sub(0))
+	mean := remaining / time.Duration(n)
 	return s.backlog(c.now) + mean*time.Duration(ahead)/time.Duration(n)
 }
 
-// enqueue places a request at once where that is best, else lets it wait.
+// enqueue grants a request at once if a server is chosen, else queues it.
 func (c *Cell) enqueue(it *item) {
 	q := c.tier(it.req.Tier)
-	if c.opened && c.granting(it.req.Holder) {
-		if s := c.choose(&it.req, q.rank); s != nil {
-			q.vtime = max(q.vtime, it.tag)
+	if c.grantsEnabled && c.mayGrant(it.req.Holder) {
+		if s := c.chooseServer(&it.req, q.rank); s != nil {
+			q.virtualTime = max(q.virtualTime, it.startTag)
 			c.grant(s, it)
 			return
 		}
 	}
-	c.wait(q, it)
+	c.addWaiting(q, it)
 }
 
-func (c *Cell) wait(q *tierQueue, it *item) {
+func (c *Cell) addWaiting(q *tierQueue, it *item) {
 	it.aged = false
 	it.timerAt = c.agesAt(it, false)
 	if it.timerAt > c.latestStart(&it.req) {
 		it.timerAt = c.latestStart(&it.req)
 	}
-	q.add(it, c.holders[it.req.Prefix])
-	q.work += c.workOf(&it.req)
+	q.add(it, c.cachingServers[it.req.Prefix])
+	q.queuedWork += c.workOf(&it.req)
 	c.timers.push(it)
 	c.waitCount++
 }
 
-// unwait takes a waiting item out of all indexes.
-func (c *Cell) unwait(it *item) {
+// removeWaiting removes a waiting item from all indexes.
+func (c *Cell) removeWaiting(it *item) {
 	q := it.group.tier
 	q.drop(it)
-	q.work = max(0, q.work-c.workOf(&it.req))
-	c.timers.remove(it.inTimer)
+	q.queuedWork = max(0, q.queuedWork-c.workOf(&it.req))
+	c.timers.remove(it.timerIndex)
 	c.waitCount--
 }
 
-// agesAt is when a request has waited long enough for a holder of its prefix
-// or, if nobody holds it, behind others.
-func (c *Cell) agesAt(it *item, held bool) Time {
+// agesAt returns when a request has waited long enough for a server that has
+// its prefix cached or, if none has, behind other requests.
+func (c *Cell) agesAt(it *item, isCached bool) Time {
 	share := c.policy.AgeShare
-	if held {
+	if isCached {
 		share = c.policy.HeldAgeShare
 	}
 	return it.arrived.Add(time.Duration(float64(it.req.Deadline.Sub(it.arrived)) * share))
 }
 
-// workOf is a request's work in seconds at speed 1, prefix not deducted.
+// workOf returns a request's work in seconds at speed 1, as if its prefix were
+// not cached.
 func (c *Cell) workOf(r *Request) float64 {
-	prefill := float64(r.PromptTokens) / chunkTokens * prefillStep.Seconds()
-	return prefill + float64(r.OutputTokens)*stepPerSeq.Seconds() + plainCall.Seconds()
+	prefill := float64(r.PromptTokens) / chunkTokens * prefillStepTime.Seconds()
+	return prefill + float64(r.OutputTokens)*stepTimePerSequence.Seconds() + plainCallTime.Seconds()
 }
 
-// fillAll offers the free places of all servers.
+// fillAll fills the free slots of all servers.
 func (c *Cell) fillAll() {
 	if c.waitCount == 0 {
 		return
@@ -200,7 +203,7 @@
 // fill grants waiting requests to s while it has room, the most urgent tier
 // first.
 func (c *Cell) fill(s *server) {
-	if !c.opened {
+	if !c.grantsEnabled {
 		return
 	}
 	for c.waitCount > 0 {
@@ -208,105 +211,106 @@
 		if it == nil {
 			return
 		}
-		c.unwait(it)
-		if !c.granting(it.req.Holder) {
+		c.removeWaiting(it)
+		if !c.mayGrant(it.req.Holder) {
 			c.parked = append(c.parked, it)
 			continue
 		}
-		it.group.tier.vtime = max(it.group.tier.vtime, it.tag)
+		it.group.tier.virtualTime = max(it.group.tier.virtualTime, it.startTag)
 		c.grant(s, it)
 	}
 }
 
-// pick returns the request that s takes next.
+// pick returns the next request for s.
 func (c *Cell) pick(s *server) *item {
 	for _, q := range c.tiers {
 		if q.len() == 0 {
 			continue
 		}
-		if !c.room(s, q.rank) {
-			return nil // lower tiers have less room still
+		if !c.hasRoom(s, q.rank) {
+			return nil // lower tiers have even less room
 		}
-		if it := c.pickTier(s, q); it != nil {
+		if it := c.pickFromTier(s, q); it != nil {
 			return it
 		}
 	}
 	return nil
 }
 
-// pickTier lets the server pick within a tier, in this order: a request that
-// waited long for a prefix that nobody holds, within the server's miss
-// budget; one whose prefix it holds; one whose prefix nobody holds; one that
-// waited long although another server holds its prefix. Only the last
-// computes again what the cell has, and only when the server has nothing
-// else to do in the tier; so no request waits for ever, and caches are not
-// destroyed just when work is scarce.
-func (c *Cell) pickTier(s *server, q *tierQueue) *item {
+// pickFromTier chooses a request for s within a tier, in this order: an aged
+// request whose prefix no server has cached, within the server's miss budget;
+// one whose prefix s has cached; one whose prefix no server has cached; an aged
+// one whose prefix another server has cached. Only the last recomputes a prefix
+// that is cached elsewhere, and only when s has nothing else to do in the tier.
+// So no request waits forever, and caches are not overwritten just when work is
+// scarce.
+func (c *Cell) pickFromTier(s *server, q *tierQueue) *item {
 	it := c.candidate(s, q)
-	if it == nil || c.inTime(s, it) {
+	if it == nil || c.meetsDeadline(s, it) {
 		return it
 	}
-	// The earliest request is too late for this server; a faster one may
-	// still take it. The newest one has the most time left.
-	newest := q.shed.min()
-	elsewhere := len(newest.group.holders) > 0 && !s.cache.holds(newest.req.Prefix)
-	if !elsewhere && c.inTime(s, newest) {
+	// The chosen request is too late for this server; a faster one may still
+	// take it. The newest one has the most time left.
+	newest := q.shedOrder.min()
+	cachedElsewhere := len(newest.group.cachingServers) > 0 && !s.cache.contains(newest.req.Prefix)
+	if !cachedElsewhere && c.meetsDeadline(s, newest) {
 		return newest
 	}
 	return nil
 }
 
-// inTime reports whether s would answer it within its deadline if granted
-// now. What is started too late costs prefill and tokens for nothing.
-func (c *Cell) inTime(s *server, it *item) bool {
+// meetsDeadline reports whether a request would end within its deadline if s
+// were granted it now. A request that starts too late wastes prefill and
+// tokens.
+func (c *Cell) meetsDeadline(s *server, it *item) bool {
 	return c.now.Add(s.predict(c.now, &it.req).total) <= it.req.Deadline
 }
 
-// candidate is the request that s would take if deadlines did not matter.
+// candidate returns the request that s would take regardless of deadlines.
 func (c *Cell) candidate(s *server, q *tierQueue) *item {
 	if !c.policy.ServerPicks {
 		return q.first()
 	}
-	ready := s.firstReady(q.rank)
-	old := q.oldest(s)
-	budget := c.now >= s.missUntil || s.load() == 0
-	if old != nil && budget && len(old.group.holders) == 0 && (ready == nil || old.before(ready)) {
-		return old
+	cached := s.firstCached(q.rank)
+	aged := q.firstAged(s)
+	missAllowed := c.now >= s.noAgedMissUntil || s.load() == 0
+	if aged != nil && missAllowed && len(aged.group.cachingServers) == 0 && (cached == nil || aged.before(cached)) {
+		return aged
 	}
-	if ready != nil {
-		return ready
+	if cached != nil {
+		return cached
 	}
-	if q.unheld.len() > 0 {
-		return q.unheld.min().head()
+	if q.uncached.len() > 0 {
+		return q.uncached.min().head()
 	}
-	if budget {
-		return old
+	if missAllowed {
+		return aged
 	}
 	return nil
 }
 
-// oldest returns the aged request with the earliest tag, those first whose
-// prefix nobody holds. A request whose prefix came to be held since it aged
-// moves to the others.
-func (q *tierQueue) oldest(s *server) *item {
+// firstAged returns the aged request with the earliest start tag, those whose
+// prefix no server has cached first. A request whose prefix is now cached
+// at another server moves to agedCached.
+func (q *tierQueue) firstAged(s *server) *item {
 	for q.aged.len() > 0 {
 		it := q.aged.min()
-		if len(it.group.holders) == 0 || s.cache.holds(it.req.Prefix) {
+		if len(it.group.cachingServers) == 0 || s.cache.contains(it.req.Prefix) {
 			return it
 		}
-		q.aged.remove(it.inAged)
-		q.agedHeld.push(it)
+		q.aged.remove(it.agedIndex)
+		q.agedCached.push(it)
 	}
-	if q.agedHeld.len() > 0 {
-		return q.agedHeld.min()
+	if q.agedCached.len() > 0 {
+		return q.agedCached.min()
 	}
 	return nil
 }
 
-// first returns the request with the earliest tag of the whole tier.
+// first returns the request with the earliest start tag of the whole tier.
 func (q *tierQueue) first() *item {
 	var best *item
-	for _, it := range q.shed.items {
+	for _, it := range q.shedOrder.items {
 		if best == nil || it.before(best) {
 			best = it
 		}
@@ -314,15 +318,15 @@
 	return best
 }
 
-// grant books it at s and tells the holder.
+// grant starts a run at s and sends the grant to the holder.
 func (c *Cell) grant(s *server, it *item) {
 	r := &it.req
-	if !s.cache.holds(r.Prefix) && it.aged {
+	if !s.cache.contains(r.Prefix) && it.aged {
 		cost := s.prefillTime(r.PrefixTokens, s.load())
-		s.missUntil = c.now.Add(time.Duration(float64(cost) * c.policy.MissBudget))
+		s.noAgedMissUntil = c.now.Add(time.Duration(float64(cost) * c.policy.MissBudget))
 	}
 	run := s.start(c.now, it)
-	c.noteUse(c.now, s, r)
+	c.recordUse(c.now, s, r)
 	c.ledger.granted(c.now, r, run)
 	c.emit(Action{
 		Kind: Grant, To: r.Holder, ID: r.ID, Server: s.id(), Attempt: r.Attempt,
@@ -330,13 +334,13 @@
 	})
 }
 
-// granting reports whether a holder's clock is fresh enough for a grant.
-func (c *Cell) granting(h ident.Incarnation) bool {
+// mayGrant reports whether the stamp of a holder is fresh enough for a grant.
+func (c *Cell) mayGrant(h ident.Incarnation) bool {
 	s := c.sessions[h]
-	return s != nil && s.reported && c.now.Sub(s.heardAt) < HolderStale
+	return s != nil && s.reported && c.now.Sub(s.heardAt) < MaxStampAge
 }
 
-// finished closes a run and offers its place.
+// finished closes a run and fills its slot.
 func (c *Cell) finished(e Finished) {
 	entry := c.ledger.get(e.ID)
 	if entry == nil || entry.holder != e.Holder {
@@ -352,8 +356,8 @@
 	c.fill(run.server)
 }
 
-// returned takes an unused grant back; the request waits again in its old
-// place, since its tag stays.
+// returned takes back an unused grant. The request keeps its start tag and so
+// its position in the queue.
 func (c *Cell) returned(e Returned) {
 	entry := c.ledger.get(e.ID)
 	if entry == nil || entry.holder != e.Holder || entry.run == nil {
@@ -366,7 +370,7 @@
 		c.signal(run.server.id(), SignalFail)
 	}
 	if run.item.req.Tier == 0 {
-		// Known from a report only; the holder registers it again.
+		// The request is known only from a report; its holder registers it again.
 		c.ledger.forget(e.ID)
 		c.fill(run.server)
 		return
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -2,37 +2,40 @@
 
 import "time"
 
-// Policy holds the numbers that placement turns on. The values of
-// DefaultPolicy were chosen by the measurements in docs/MEASUREMENTS.md.
+// Policy holds the parameters of placement. docs/MEASUREMENTS.md has the
+// measurements behind DefaultPolicy.
 type Policy struct {
 	// MissPrice multiplies the compute time of prefix tokens that another
-	// server holds: a miss also pushes another prefix out.
+	// server has cached, because a miss also evicts another prefix.
 	MissPrice float64
 	// EvictPrice multiplies the compute time of the shared prefixes that a
-	// missed one would push out of a server's cache.
+	// miss would evict from a server's cache.
 	EvictPrice float64
-	// PriceShare bounds both prices by a part of the time that a request has
-	// left: that long it may wait for a holder rather than be computed anew.
+	// PriceShare bounds both prices by a share of the time that a request has
+	// left. So long it may wait for a server that has its prefix cached before
+	// the prefix is computed again.
 	PriceShare float64
-	// ServerPicks lets a server that frees up choose a waiting request whose
-	// prefix it holds. Off, the first request of a tier takes any slot.
+	// ServerPicks lets a server with a free slot choose a waiting request whose
+	// prefix it has cached. Without it, the first request of a tier takes any
+	// free slot.
 	ServerPicks bool
-	// AgeShare is the part of its deadline window that a request whose prefix
-	// nobody holds waits behind others before it goes first. HeldAgeShare is
-	// the part that one waits for the holders of its prefix before any server
-	// may take it.
+	// AgeShare is the share of its deadline window that a request whose prefix
+	// no server has cached waits behind others before it goes first.
+	// HeldAgeShare is the share that a request waits for the servers that have
+	// its prefix cached before any other server may take it.
 	AgeShare     float64
 	HeldAgeShare float64
-	// MissBudget bounds the time a busy server spends on aged requests whose
-	// prefix another server holds: one such prefill, then MissBudget times
-	// its length without.
+	// MissBudget limits the time that a busy server spends on aged requests
+	// whose prefix it does not have cached: after granting one, it takes no
+	// other for MissBudget times the predicted time of that prefill.
 	MissBudget float64
 	// Headroom is how many sequences of a server each tier leaves free for
 	// the tiers above it.
 	Headroom int
-	// UrgentPrefill and BulkPrefill cap the prefill that waits in a server
-	// when the most urgent tier, or any other one, is granted: engines are
-	// first come, first served, so what is inside cannot be overtaken.
+	// UrgentPrefill and BulkPrefill limit the prefill backlog of a server at
+	// which a request of the most urgent tier, or of any other tier, is
+	// granted. Engines work first come, first served, so a request can't
+	// overtake the prefill that is already in a server.
 	UrgentPrefill time.Duration
 	BulkPrefill   time.Duration
 }
@@ -55,22 +58,22 @@
 
 // Timing constants of the protocol between holder and home.
 const (
-	// GrantTTL is how long a grant may be used, counted on the holder's own
-	// clock from the newest stamp that the home had seen of it. A holder that
-	// was paused wakes with a grant that has run out by its own clock.
+	// GrantTTL is the validity of a grant, counted on the holder's own clock
+	// from the newest stamp that the home had received from it. When a paused
+	// holder resumes, its grants have expired by its own clock.
 	GrantTTL = 2 * time.Second
-	// HolderStale is the age of a holder's newest stamp at which the home
-	// stops granting to it: the grant would have little life left.
-	HolderStale = 1 * time.Second
-	// MoveHold is how long a holder that leaves a home without its goodbye
-	// waits before it uses grants of another one. A holder whose end is
-	// proved within MoveHold of its last stamp cannot have been granted
-	// anything elsewhere, so the home's ledger covers it.
+	// MaxStampAge is the age of a holder's newest stamp from which the home
+	// grants nothing to it, because a grant would expire soon after arrival.
+	MaxStampAge = 1 * time.Second
+	// MoveHold is how long a holder that leaves a home without Left waits
+	// before it uses grants of another home. A holder whose end is proved
+	// within MoveHold of its last stamp can't have been granted anything
+	// elsewhere, so the home's ledger covers it.
 	MoveHold = 2 * time.Second
-	// OpenWait is how long a new home waits for the reports of the live
-	// holders before its first grant, so that it knows what runs.
-	OpenWait = 300 * time.Millisecond
+	// ReportTimeout is how long a new home waits for the reports of the live
+	// holders before its first grant. From the reports it learns what runs.
+	ReportTimeout = 300 * time.Millisecond
 	// OrphanGrace is added to the predicted end of a request whose holder
-	// died, before its place in the server counts as free.
+	// died, before its slot at the server counts as free.
 	OrphanGrace = 2 * time.Second
 )
--- a/internal/core/resend.go
+++ b/internal/core/resend.go
@@ -8,22 +8,22 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// resend is a request that came through another holder than before. It waits
-// until each holder tried earlier has given the id up, or its end is proved
-// and covered by our ledger.
+// resend is a request that was tried through another holder before. It waits
+// until each tried holder has given the id up, or has ended with proof and is
+// covered by the ledger.
 type resend struct {
-	req  Request
-	open []ident.Incarnation // holders whose word is missing
+	req        Request
+	unanswered []ident.Incarnation // holders that have not answered
 }
 
-// register takes a request, or tells its holder what became of the id.
+// register accepts a request, or tells its holder what became of the id.
 func (c *Cell) register(r Request) {
 	if e := c.ledger.get(r.ID); e != nil {
 		c.registerKnown(r, e)
 		return
 	}
 	if pending := c.resends[r.ID]; pending != nil {
-		c.refuseRepeat(r, pending)
+		c.attachToPending(r, pending)
 		return
 	}
 	if !r.Resend {
@@ -33,27 +33,28 @@
 	c.startResend(r, r.Tried)
 }
 
-func (c *Cell) refuseRepeat(r Request, pending *resend) {
+func (c *Cell) attachToPending(r Request, pending *resend) {
 	if pending.req.Holder != r.Holder {
 		c.emit(Action{Kind: Attach, To: r.Holder, ID: r.ID, Holder: pending.req.Holder})
 	}
 }
 
-// registerKnown handles an id that the ledger has. The same holder only
-// repeats itself: a grant that was lost with an old session is settled by its
-// report. Another holder is attached to what was granted; what only waits is
-// revoked first when the caller says that it lost the other holder. Two
-// callers with one key each go on through their own host: the second one
-// follows the first, since revoking would let them revoke each other for ever.
+// registerKnown handles an id that is in the ledger. The same holder with the
+// same attempt only repeats itself: a grant that was lost with an old session is
+// resolved by the holder's report. Another holder is attached to a granted id.
+// If the id only waits, it is revoked at the other holder when the request is a
+// resend, that is, the caller lost that holder. Otherwise two callers use the
+// same key through different hosts, and the second is attached to the first:
+// revoking would let them revoke each other forever.
 func (c *Cell) registerKnown(r Request, e *entry) {
 	switch {
 	case e.holder == r.Holder && (e.state == LedgerWaiting || e.attempt == r.Attempt):
 		return
 	case e.holder == r.Holder:
-		// The holder took a new attempt for an id that an older one of its
-		// own was granted for: it does not have that record any more.
+		// The holder registers a new attempt at an id of which an older attempt
+		// was granted to it: it no longer has the record of that one.
 		c.emit(Action{Kind: Attach, To: r.Holder, ID: r.ID, Holder: e.holder, Server: e.server})
-	case e.state == LedgerWaiting && (r.Resend || !c.granting(e.holder)):
+	case e.state == LedgerWaiting && (r.Resend || !c.mayGrant(e.holder)):
 		tried := appendMissing(append([]ident.Incarnation(nil), r.Tried...), e.holder)
 		c.startResend(r, tried)
 	default:
@@ -70,9 +71,9 @@
 	return append(list, inc)
 }
 
-// startResend asks every tried holder for its word. It is asked even where
-// our ledger has nothing of the id: the request may be on its way from the
-// holder, or the holder may follow another home.
+// startResend sends a revoke to every tried holder, even when the ledger does
+// not have the id: the request may be on its way from the holder, or the holder
+// may follow another home.
 func (c *Cell) startResend(r Request, tried []ident.Incarnation) {
 	p := &resend{req: r}
 	for _, inc := range tried {
@@ -83,7 +84,7 @@
 		if s != nil && s.ended && s.covered {
 			continue
 		}
-		p.open = append(p.open, inc)
+		p.unanswered = append(p.unanswered, inc)
 		if s != nil && !s.ended {
 			c.emit(Action{Kind: Revoke, To: inc, ID: r.ID})
 		}
@@ -92,26 +93,27 @@
 	c.settle(p)
 }
 
-// settle ends a resend whose holders have all spoken. A holder that ended
-// without proof leaves it unproved, unless the claim row will prove it.
+// settle ends a resend when all its tried holders have answered or ended. If a
+// holder is not covered, the result is Unproved, unless the claim row will
+// prove whether the id ran.
 func (c *Cell) settle(p *resend) {
-	for _, inc := range p.open {
+	for _, inc := range p.unanswered {
 		s := c.sessions[inc]
 		if s != nil && !s.ended || s == nil && c.isLive(inc) {
 			return // its answer is still to come
 		}
 	}
 	delete(c.resends, p.req.ID)
-	if len(p.open) > 0 && !p.req.Claimed {
+	if len(p.unanswered) > 0 && !p.req.Claimed {
 		c.emit(Action{Kind: Unproved, To: p.req.Holder, ID: p.req.ID, Reason: failure.NotCovered})
 		return
 	}
-	c.forgetWaiting(p.req.ID)
+	c.removeWaitingEntry(p.req.ID)
 	c.accept(p.req)
 }
 
 func (c *Cell) isLive(inc ident.Incarnation) bool {
-	for _, v := range c.live {
+	for _, v := range c.liveMembers {
 		if v == inc {
 			return true
 		}
@@ -119,15 +121,15 @@
 	return false
 }
 
-// askAgain repeats the revocations that a holder's old session may have lost
-// or that waited for its first session.
-func (c *Cell) askAgain(h ident.Incarnation) {
+// repeatRevokes sends the revokes again that a holder's old session may have
+// lost, or that waited for its first session.
+func (c *Cell) repeatRevokes(h ident.Incarnation) {
 	for _, p := range c.pendingOn(h) {
 		c.emit(Action{Kind: Revoke, To: h, ID: p.req.ID})
 	}
 }
 
-// locate answers where an id is held, for a caller that attaches again.
+// locate returns which holder has an id, for a caller that attaches again.
 func (c *Cell) locate(e Locate) {
 	if known := c.ledger.get(e.ID); known != nil {
 		c.emit(Action{Kind: Attach, To: e.Asker, ID: e.ID, Holder: known.holder, Server: known.server})
@@ -136,20 +138,21 @@
 	c.emit(Action{Kind: Unproved, To: e.Asker, ID: e.ID, Reason: failure.UnknownRequest})
 }
 
-// forgetWaiting drops an old holder's waiting line after its word was given.
-func (c *Cell) forgetWaiting(id ident.RequestID) {
+// removeWaitingEntry removes an id that only waits from the queue and the
+// ledger.
+func (c *Cell) removeWaitingEntry(id ident.RequestID) {
 	e := c.ledger.get(id)
 	if e == nil || e.state != LedgerWaiting {
 		return
 	}
-	if e.item != nil && e.item.inTimer >= 0 {
-		c.unwait(e.item)
+	if e.item != nil && e.item.timerIndex >= 0 {
+		c.removeWaiting(e.item)
 	}
 	c.parked = remove(c.parked, e.item)
 	c.ledger.forget(id)
 }
 
-// revokeAnswer takes a holder's word on a resent id.
+// revokeAnswer handles a holder's answer to a revoke.
 func (c *Cell) revokeAnswer(e RevokeAnswer) {
 	p := c.resends[e.ID]
 	if p == nil {
@@ -160,14 +163,14 @@
 		c.emit(Action{Kind: Attach, To: p.req.Holder, ID: e.ID, Holder: e.Holder, Server: e.Server})
 		return
 	}
-	c.closeRevoked(e)
-	p.open = remove(p.open, e.Holder)
+	c.releaseRevoked(e)
+	p.unanswered = remove(p.unanswered, e.Holder)
 	c.settle(p)
 }
 
-// closeRevoked frees what a holder had of an id that it gave up: a waiting
-// line, or a grant that crossed the revocation and will not be used.
-func (c *Cell) closeRevoked(e RevokeAnswer) {
+// releaseRevoked frees what a holder had of an id that it gave up: a waiting
+// entry, or a grant that crossed the revoke and will not be used.
+func (c *Cell) releaseRevoked(e RevokeAnswer) {
 	entry := c.ledger.get(e.ID)
 	if entry == nil || entry.holder != e.Holder {
 		return
@@ -178,16 +181,15 @@
 		c.ledger.forget(e.ID)
 		return
 	}
-	c.forgetWaiting(e.ID)
+	c.removeWaitingEntry(e.ID)
 }
 
-// resolveResends looks again at the resends that wait for a holder that has
-// ended.
+// resolveResends continues the resends that wait for a holder that has ended.
 func (c *Cell) resolveResends(h ident.Incarnation) {
 	s := c.sessions[h]
 	for _, p := range c.pendingOn(h) {
 		if s.covered {
-			p.open = remove(p.open, h)
+			p.unanswered = remove(p.unanswered, h)
 		}
 		if e := c.ledger.get(p.req.ID); e != nil && e.state != LedgerWaiting {
 			delete(c.resends, p.req.ID)
@@ -198,12 +200,12 @@
 	}
 }
 
-// pendingOn lists the resends that wait for a holder, in the order of their
-// ids so that Step stays deterministic.
+// pendingOn returns the resends that wait for a holder, ordered by id so that
+// Step stays deterministic.
 func (c *Cell) pendingOn(h ident.Incarnation) []*resend {
 	var out []*resend
 	for _, p := range c.resends {
-		for _, inc := range p.open {
+		for _, inc := range p.unanswered {
 			if inc == h {
 				out = append(out, p)
 			}
@@ -213,22 +215,22 @@
 	return out
 }
 
-// expireResends ends what waits for a silent holder past its deadline.
+// expireResends ends the resends whose deadline passed without an answer.
 func (c *Cell) expireResends() {
-	var late []*resend
+	var expired []*resend
 	for _, p := range c.resends {
 		if c.now >= p.req.Deadline {
-			late = append(late, p)
+			expired = append(expired, p)
 		}
 	}
-	sortResends(late)
-	for _, p := range late {
+	sortResends(expired)
+	for _, p := range expired {
 		delete(c.resends, p.req.ID)
 		c.emit(Action{Kind: Unproved, To: p.req.Holder, ID: p.req.ID, Reason: failure.HolderLost})
 	}
 }
 
-// accept queues a request that nobody else holds.
+// accept queues a request that no other holder has.
 func (c *Cell) accept(r Request) {
 	s := c.sessions[r.Holder]
 	if s == nil || s.ended {
@@ -236,7 +238,7 @@
 	}
 	q := c.tier(r.Tier)
 	c.nextSeq++
-	it := &item{req: r, arrived: c.now, seq: c.nextSeq, inGroup: -1, inShed: -1, inTimer: -1, inAged: -1, inAgedHeld: -1}
+	it := &item{req: r, arrived: c.now, seq: c.nextSeq, groupIndex: -1, shedIndex: -1, timerIndex: -1, agedIndex: -1, agedCachedIndex: -1}
 	if c.now >= c.latestStart(&r) {
 		c.refuseLate(it)
 		return
@@ -245,7 +247,7 @@
 	if share <= 0 {
 		share = 1
 	}
-	it.tag = q.tagFor(r.Account, c.workOf(&r), share)
+	it.startTag = q.assignStartTag(r.Account, c.workOf(&r), share)
 	c.ledger.waiting(c.now, it)
 	if !c.admit(it) {
 		c.refuse(&r, failure.Overload)
@@ -254,13 +256,14 @@
 	c.enqueue(it)
 }
 
-// refuseLate turns away what could not be answered in time by an idle cell.
-// That is the request's own doing, not overload, so nobody else is shed.
+// refuseLate rejects a request that even the best server could not answer in
+// time. The cause is the request's deadline, not overload, so no other request
+// is shed.
 func (c *Cell) refuseLate(it *item) {
 	c.refuse(&it.req, failure.Deadline)
 }
 
-// withdraw drops a waiting request that its holder gave up.
+// withdraw removes a waiting request that its holder gave up.
 func (c *Cell) withdraw(e Withdraw) {
 	if p := c.resends[e.ID]; p != nil && p.req.Holder == e.Holder {
 		delete(c.resends, e.ID)
@@ -278,7 +281,7 @@
 		c.fill(s)
 		return
 	}
-	c.forgetWaiting(e.ID)
+	c.removeWaitingEntry(e.ID)
 }
 
 func sortResends(list []*resend) {
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -9,38 +9,38 @@
 )
 
 // The engine model behind the predictions, at speed 1. The scales of each
-// server are learned, so these only have to have the right shape: a step
-// prefills up to chunkTokens, and every running sequence makes it longer.
+// server are learned, so the model needs only the right shape: a step prefills
+// up to chunkTokens, and every running sequence makes the step longer.
 const (
-	chunkTokens = 512
-	prefillStep = 6 * time.Millisecond
-	decodeStep  = 3 * time.Millisecond
-	stepPerSeq  = 200 * time.Microsecond
-	plainCall   = 5 * time.Millisecond
-	learnRate   = 0.2
-	minScale    = 0.2
-	maxScale    = 20.0
-	// forgetAfter is how long a scale stands without news; after it the scale
-	// goes back to 1, by forgetRate at each tick, so that a server that was
-	// slow once gets work again and is learned anew.
-	forgetAfter    = 5 * time.Second
-	forgetRate     = 0.01
-	learnTokens    = 32 // fewer tokens say too little about a server's speed
-	stallTime      = 3 * time.Second
-	driftReports   = 2
-	historySamples = 64
+	chunkTokens         = 512
+	prefillStepTime     = 6 * time.Millisecond
+	decodeStepTime      = 3 * time.Millisecond
+	stepTimePerSequence = 200 * time.Microsecond
+	plainCallTime       = 5 * time.Millisecond
+	smoothingFactor     = 0.2
+	minScale            = 0.2
+	maxScale            = 20.0
+	// scaleDecayDelay is the time without a new sample after which a scale
+	// decays towards 1, by scaleDecayRate at each tick. So a server that was
+	// slow once gets work again and new samples.
+	scaleDecayDelay  = 5 * time.Second
+	scaleDecayRate   = 0.01
+	minSampleTokens  = 32 // with fewer tokens, a sample says too little about a server's speed
+	stallTimeout     = 3 * time.Second
+	minExcessReports = 2
+	historySamples   = 64
 )
 
 // run is one granted request that has not finished.
 type run struct {
-	item       *item
-	server     *server
-	grantedAt  Time
-	missTokens int
-	predicted  Time    // end
-	firstAt    Time    // predicted first token
-	scale      float64 // prefill scale that the prediction used
-	orphan     bool    // its holder died; ends by the clock
+	item                *item
+	server              *server
+	grantedAt           Time
+	missTokens          int
+	predictedEnd        Time
+	predictedFirstToken Time
+	usedPrefillScale    float64 // prefill scale that the prediction used
+	orphan              bool    // its holder died; ends at predictedEnd plus OrphanGrace
 }
 
 // sample is the number of running requests from a moment on.
@@ -49,33 +49,33 @@
 	n  int
 }
 
-// server is the home's view of one backend server. It sees every dispatch of
-// the cell, so runs is exact; load reports only correct drift.
+// server is the home's view of one backend server. The home sees every
+// dispatch of the cell, so runs is exact; load reports only correct drift.
 type server struct {
-	spec         ServerSpec
-	machine      chart.Machine
-	runs         []*run
-	foreign      float64 // requests in the server that are not ours, smoothed
-	drifted      int     // load reports in a row that showed foreign work
-	prefillFree  Time    // when the prefill granted so far is predicted to end
-	missUntil    Time    // no aged miss before this time
-	prefillScale float64
-	decodeScale  float64
-	prefillAt    Time          // when prefillScale was last learned
-	decodeAt     Time          // when decodeScale was last learned
-	stalled      time.Duration // streaming time without a single token
-	cache        cacheModel
-	ready        [][]*group // per tier rank: held groups with waiting requests
-	readyItems   []int      // per tier rank: requests in those groups
-	endSum       Time       // sum of the runs' predicted ends
-	heldMark     uint64     // equals Cell.markNow while choose looks at a prefix it holds
-	history      [historySamples]sample
-	samples      int
+	spec             ServerSpec
+	machine          chart.Machine
+	runs             []*run
+	foreign          float64 // smoothed number of requests that did not come from this cell
+	excessReports    int     // consecutive load reports that showed foreign requests
+	prefillEndsAt    Time    // predicted end of the prefill granted so far
+	noAgedMissUntil  Time    // no prefill of an aged request with a miss before this time
+	prefillScale     float64
+	decodeScale      float64
+	prefillLearnedAt Time          // time of the newest sample of prefillScale
+	decodeLearnedAt  Time          // time of the newest sample of decodeScale
+	stalled          time.Duration // streaming time without a token
+	cache            cacheModel
+	cachedGroups     [][]*group // by tier rank: groups of waiting requests whose prefix is cached
+	cachedWaiting    []int      // by tier rank: number of requests in those groups
+	predictedEndSum  Time       // sum of the runs' predicted ends
+	cacheHitMark     uint64     // equals Cell.currentHitMark while chooseServer looks at a prefix in the cache
+	history          [historySamples]sample
+	sampleCount      int
 }
 
 var serverChart = charts.MustLoad().Server
 
-// Signals of the server chart.
+// Events of the server's state chart.
 const (
 	SignalFail    chart.Event = "fail"
 	SignalRecover chart.Event = "recover"
@@ -99,32 +99,33 @@
 
 func (s *server) load() float64 { return float64(len(s.runs)) + s.foreign }
 
-// prefillTime predicts the prefill of tokens with n sequences running.
+// prefillTime predicts the prefill time of tokens with n running sequences.
 func (s *server) prefillTime(tokens int, n float64) time.Duration {
-	step := float64(prefillStep) + n*float64(stepPerSeq)
+	step := float64(prefillStepTime) + n*float64(stepTimePerSequence)
 	return time.Duration(float64(tokens) / chunkTokens * step * s.prefillScale / s.spec.Speed)
 }
 
-// tokenTime predicts the time between tokens with n sequences running.
+// tokenTime predicts the time per output token with n running sequences.
 func (s *server) tokenTime(n float64) time.Duration {
-	step := float64(decodeStep) + n*float64(stepPerSeq)
+	step := float64(decodeStepTime) + n*float64(stepTimePerSequence)
 	return time.Duration(step * s.decodeScale / s.spec.Speed)
 }
 
-// backlog is the prefill that is predicted to wait in the server.
+// backlog returns the predicted time of the prefill that waits in the server.
 func (s *server) backlog(now Time) time.Duration {
-	return max(0, s.prefillFree.Sub(now))
+	return max(0, s.prefillEndsAt.Sub(now))
 }
 
-// missTokens counts the prompt tokens that s would have to compute for r.
+// missTokens returns the number of prompt tokens that s must compute for r.
 func (s *server) missTokens(r *Request) int {
-	if s.cache.holds(r.Prefix) {
+	if s.cache.contains(r.Prefix) {
 		return max(1, r.PromptTokens-r.PrefixTokens)
 	}
 	return r.PromptTokens
 }
 
-// prediction is when r would show its first token and end if granted now.
+// prediction holds the predicted times from grant to first token and to end,
+// for a request granted now.
 type prediction struct {
 	miss  int
 	first time.Duration
@@ -137,7 +138,7 @@
 
 func (s *server) predictMiss(now Time, r *Request, miss int) prediction {
 	if s.spec.Plain {
-		call := time.Duration(float64(plainCall) * s.decodeScale / s.spec.Speed)
+		call := time.Duration(float64(plainCallTime) * s.decodeScale / s.spec.Speed)
 		return prediction{first: call, total: call}
 	}
 	n := s.load() + 1
@@ -147,156 +148,162 @@
 	return p
 }
 
-// start books a granted request.
+// start adds a run for a granted request.
 func (s *server) start(now Time, it *item) *run {
 	p := s.predict(now, &it.req)
 	r := &run{
 		item: it, server: s, grantedAt: now, missTokens: p.miss,
-		predicted: now.Add(p.total), firstAt: now.Add(p.first), scale: s.prefillScale,
+		predictedEnd: now.Add(p.total), predictedFirstToken: now.Add(p.first), usedPrefillScale: s.prefillScale,
 	}
-	s.prefillFree = now.Add(p.first)
+	s.prefillEndsAt = now.Add(p.first)
 	s.runs = append(s.runs, r)
-	s.endSum += r.predicted
-	s.note(now)
+	s.predictedEndSum += r.predictedEnd
+	s.recordSample(now)
 	return r
 }
 
-// finish takes a run out of the books.
+// finish removes a run.
 func (s *server) finish(now Time, r *run) {
 	before := len(s.runs)
 	s.runs = remove(s.runs, r)
 	if len(s.runs) < before {
-		s.endSum -= r.predicted
+		s.predictedEndSum -= r.predictedEnd
 	}
-	s.note(now)
+	s.recordSample(now)
 }
 
-func (s *server) note(now Time) {
-	s.history[s.samples%historySamples] = sample{at: now, n: len(s.runs)}
-	s.samples++
+func (s *server) recordSample(now Time) {
+	s.history[s.sampleCount%historySamples] = sample{at: now, n: len(s.runs)}
+	s.sampleCount++
 }
 
-// runsAt returns how many requests ran at a past moment, as far as known.
+// runsAt returns how many requests ran at a past moment. It returns false when
+// the history does not reach back that far.
 func (s *server) runsAt(at Time) (int, bool) {
-	oldest := max(0, s.samples-historySamples)
-	for i := s.samples - 1; i >= oldest; i-- {
+	oldest := max(0, s.sampleCount-historySamples)
+	for i := s.sampleCount - 1; i >= oldest; i-- {
 		if h := s.history[i%historySamples]; h.at <= at {
 			return h.n, true
 		}
 	}
-	return 0, s.samples <= historySamples
+	return 0, s.sampleCount <= historySamples
 }
 
-// correct uses a load report: it is compared with what was known at the time
-// it speaks of, so a late report of our own work is not counted again. Only
-// an excess seen in several reports in a row counts as foreign work.
-func (s *server) correct(now Time, rep LoadReport) {
+// applyLoadReport updates foreign from a load report. The report is compared
+// with the runs at the time it describes, so that a late report does not count
+// this cell's own requests as foreign. An excess counts only after several
+// consecutive reports.
+func (s *server) applyLoadReport(now Time, rep LoadReport) {
 	known, ok := s.runsAt(now.Add(-rep.Age))
 	if !ok {
 		return
 	}
 	excess := float64(rep.Running - known)
 	if excess <= 0 {
-		s.drifted = 0
-		s.foreign = max(0, s.foreign+excess*learnRate)
+		s.excessReports = 0
+		s.foreign = max(0, s.foreign+excess*smoothingFactor)
 		return
 	}
-	s.drifted++
-	if s.drifted >= driftReports {
-		s.foreign += (excess - s.foreign) * learnRate
+	s.excessReports++
+	if s.excessReports >= minExcessReports {
+		s.foreign += (excess - s.foreign) * smoothingFactor
 	}
 }
 
-// learn corrects the speed scales by a finished request.
+// learn updates the speed scales from a finished request.
 //
-// Guard: many requests predicted with one scale finish one after another.
-// Each is compared with the scale that its own prediction used; compared with
-// the scale of now, which the ones before it have raised already, the same
-// error would be added once for each of them and the scale run away.
+// Many requests predicted with the same scale finish one after another. Each
+// is therefore compared with the scale that its own prediction used. Compared
+// with the current scale, which the earlier ones have already raised, the same
+// error would be added once per request and the scale would run away.
 func (s *server) learn(now Time, r *run, f Finished) {
 	if f.Failed {
 		return
 	}
 	if s.spec.Plain {
-		s.decodeAt = now
-		s.decodeScale = blend(s.decodeScale, f.Total, time.Duration(float64(plainCall)/s.spec.Speed))
+		s.decodeLearnedAt = now
+		s.decodeScale = smoothScale(s.decodeScale, f.Total, time.Duration(float64(plainCallTime)/s.spec.Speed))
 		return
 	}
-	expected := r.firstAt.Sub(r.grantedAt)
+	expected := r.predictedFirstToken.Sub(r.grantedAt)
 	if f.PromptTokens >= chunkTokens && f.FirstToken > 0 && expected > 0 {
-		s.prefillAt = now
-		target := r.scale * float64(f.FirstToken) / float64(expected)
-		s.prefillScale = clampScale(s.prefillScale + (target-s.prefillScale)*learnRate)
+		s.prefillLearnedAt = now
+		target := r.usedPrefillScale * float64(f.FirstToken) / float64(expected)
+		s.prefillScale = clampScale(s.prefillScale + (target-s.prefillScale)*smoothingFactor)
 	}
 }
 
-// forget lets scales without news go back to 1.
-func (s *server) forget(now Time) {
-	if now.Sub(s.prefillAt) > forgetAfter {
-		s.prefillScale += (1 - s.prefillScale) * forgetRate
+// decayScales moves scales without new samples back towards 1.
+func (s *server) decayScales(now Time) {
+	if now.Sub(s.prefillLearnedAt) > scaleDecayDelay {
+		s.prefillScale += (1 - s.prefillScale) * scaleDecayRate
 	}
-	if now.Sub(s.decodeAt) > forgetAfter {
-		s.decodeScale += (1 - s.decodeScale) * forgetRate
+	if now.Sub(s.decodeLearnedAt) > scaleDecayDelay {
+		s.decodeScale += (1 - s.decodeScale) * scaleDecayRate
 	}
 }
 
-// progress corrects the decode scale and notices a server that stalls. It
-// comes once a second, long before the answers of a server that slowed down.
+// progress updates the decode scale and reports whether the server stalls.
+// Progress events come once a second, so they show a slow server long before
+// its answers end.
 func (s *server) progress(now Time, p Progress) (stalled bool) {
 	if p.Tokens > 0 {
 		s.stalled = 0
 	} else {
 		s.stalled += p.SeqTime
 	}
-	if p.Tokens >= learnTokens {
-		s.decodeAt = now
-		seen := p.SeqTime / time.Duration(p.Tokens)
-		s.decodeScale = blendRatio(s.decodeScale, seen, s.tokenTime(s.load()))
+	if p.Tokens >= minSampleTokens {
+		s.decodeLearnedAt = now
+		observed := p.SeqTime / time.Duration(p.Tokens)
+		s.decodeScale = adjustScale(s.decodeScale, observed, s.tokenTime(s.load()))
 	}
-	return s.stalled > stallTime*time.Duration(max(1, len(s.runs)))
+	return s.stalled > stallTimeout*time.Duration(max(1, len(s.runs)))
 }
 
-// blendRatio moves a scale towards the one at which expected equals seen.
-func blendRatio(scale float64, seen, expected time.Duration) float64 {
-	if expected <= 0 || seen <= 0 {
+// adjustScale moves a scale towards the value at which expected equals
+// observed.
+func adjustScale(scale float64, observed, expected time.Duration) float64 {
+	if expected <= 0 || observed <= 0 {
 		return scale
 	}
-	target := scale * float64(seen) / float64(expected)
-	return clampScale(scale + (target-scale)*learnRate)
+	target := scale * float64(observed) / float64(expected)
+	return clampScale(scale + (target-scale)*smoothingFactor)
 }
 
-func blend(scale float64, seen, unit time.Duration) float64 {
-	target := float64(seen) / float64(unit)
-	return clampScale(scale + (target-scale)*learnRate)
+// smoothScale moves a scale towards the ratio of observed to unit.
+func smoothScale(scale float64, observed, unit time.Duration) float64 {
+	target := float64(observed) / float64(unit)
+	return clampScale(scale + (target-scale)*smoothingFactor)
 }
 
 func clampScale(v float64) float64 { return min(maxScale, max(minScale, v)) }
 
-// addReady and dropReady keep the held groups with waiting requests.
-func (s *server) addReady(g *group) {
+// addCachedGroup and removeCachedGroup maintain the groups of waiting requests
+// whose prefix s has cached.
+func (s *server) addCachedGroup(g *group) {
 	rank := g.tier.rank
-	for len(s.ready) <= rank {
-		s.ready = append(s.ready, nil)
-		s.readyItems = append(s.readyItems, 0)
+	for len(s.cachedGroups) <= rank {
+		s.cachedGroups = append(s.cachedGroups, nil)
+		s.cachedWaiting = append(s.cachedWaiting, 0)
 	}
-	s.ready[rank] = append(s.ready[rank], g)
-	s.readyItems[rank] += g.items.len()
+	s.cachedGroups[rank] = append(s.cachedGroups[rank], g)
+	s.cachedWaiting[rank] += g.items.len()
 }
 
-func (s *server) dropReady(g *group) {
-	if rank := g.tier.rank; rank < len(s.ready) {
-		s.ready[rank] = remove(s.ready[rank], g)
-		s.readyItems[rank] -= g.items.len()
+func (s *server) removeCachedGroup(g *group) {
+	if rank := g.tier.rank; rank < len(s.cachedGroups) {
+		s.cachedGroups[rank] = remove(s.cachedGroups[rank], g)
+		s.cachedWaiting[rank] -= g.items.len()
 	}
 }
 
-// firstReady returns the earliest waiting request whose prefix s holds.
-func (s *server) firstReady(rank int) *item {
-	if rank >= len(s.ready) {
+// firstCached returns the earliest waiting request whose prefix s has cached.
+func (s *server) firstCached(rank int) *item {
+	if rank >= len(s.cachedGroups) {
 		return nil
 	}
 	var best *item
-	for _, g := range s.ready[rank] {
+	for _, g := range s.cachedGroups[rank] {
 		if it := g.head(); best == nil || it.before(best) {
 			best = it
 		}
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -4,25 +4,25 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// session is what the home knows of one holder. It is kept for the horizon
-// after the holder's end, because coverage is judged by it.
+// session is the home's state of one holder. It is kept for the horizon after
+// the holder's end, because it says whether the holder is covered.
 type session struct {
 	holder   ident.Incarnation
-	stamp    Stamp // the holder's clock when it last spoke
+	stamp    Stamp // newest clock value received from the holder
 	heardAt  Time
-	reported bool // its part of the ledger is in ours
+	reported bool // its part of the ledger has been merged
 	ended    bool
-	covered  bool // after its end: nothing of it can be missing in our ledger
+	covered  bool // after its end: the ledger has everything granted to it
 	endedAt  Time
 }
 
 func (c *Cell) members(e Members) {
-	c.live = append(c.live[:0], e.Live...)
-	c.open()
+	c.liveMembers = append(c.liveMembers[:0], e.Live...)
+	c.enableGrants()
 }
 
-// report opens a session: the holder's part of the ledger joins ours, and
-// runs that the holder does not know any more are closed.
+// report opens a session. It merges the holder's part of the ledger and closes
+// runs that the holder no longer knows.
 func (c *Cell) report(e Report) {
 	s := c.sessions[e.Holder]
 	if s == nil {
@@ -35,63 +35,64 @@
 		known[in.ID] = in.State
 		c.adopt(in)
 	}
-	c.closeLost(e.Holder, known)
-	c.adoptOrphans(e.Holder)
-	c.open()
-	c.askAgain(e.Holder)
+	c.closeUnreportedRuns(e.Holder, known)
+	c.restoreOrphans(e.Holder)
+	c.enableGrants()
+	c.repeatRevokes(e.Holder)
 	c.unpark(e.Holder)
 	c.fillAll()
 }
 
-// adopt joins one line of a report. A line that says waiting is no news: the
-// holder registers what waits by itself.
+// adopt merges one entry of a report. A waiting entry is not queued, because
+// the holder registers its waiting requests itself.
 func (c *Cell) adopt(in LedgerEntry) {
 	if in.State == LedgerWaiting {
-		c.forgetGranted(in)
+		c.forgetUndispatched(in)
 		return
 	}
-	c.yieldTo(in)
+	c.dequeueGranted(in)
 	e := c.ledger.adopt(c.now, in)
 	srv := c.server(in.Server)
 	if srv == nil {
 		return
 	}
-	c.cacheTouch(c.now, srv, in.Prefix, in.PrefixTokens, true)
+	c.touchCache(c.now, srv, in.Prefix, in.PrefixTokens, true)
 	if in.State == LedgerGranted && e.run == nil && e.state == LedgerGranted {
 		it := &item{req: Request{ID: in.ID, Holder: in.Holder, Prefix: in.Prefix, PrefixTokens: in.PrefixTokens}}
 		e.run = srv.start(c.now, it)
 	}
 }
 
-// yieldTo takes a waiting request out of the queue when a report says that
-// the id was granted: at the same holder by another home, or at another
-// holder that we had not heard of. Then the one that waits is attached.
-func (c *Cell) yieldTo(in LedgerEntry) {
+// dequeueGranted removes a waiting request from the queue when a report says
+// that its id was granted, either by another home to the same holder or to a
+// holder that this home had not heard of. The waiting holder is then attached.
+func (c *Cell) dequeueGranted(in LedgerEntry) {
 	e := c.ledger.get(in.ID)
 	if e == nil || e.state != LedgerWaiting {
 		return
 	}
 	waiting := e.holder
-	c.forgetWaiting(in.ID)
+	c.removeWaitingEntry(in.ID)
 	if waiting != in.Holder {
 		c.emit(Action{Kind: Attach, To: waiting, ID: in.ID, Holder: in.Holder, Server: in.Server})
 	}
 }
 
-// forgetGranted drops what our ledger says of an id that its holder reports
-// as waiting: the holder decides whether it dispatched, and it did not.
-func (c *Cell) forgetGranted(in LedgerEntry) {
+// forgetUndispatched removes a granted or done entry of an id that its holder
+// reports as waiting. The holder's report is authoritative: it did not dispatch
+// the id.
+func (c *Cell) forgetUndispatched(in LedgerEntry) {
 	e := c.ledger.get(in.ID)
 	if e != nil && e.holder == in.Holder && e.state != LedgerWaiting && e.run == nil {
 		c.ledger.forget(in.ID)
 	}
 }
 
-// closeLost ends the runs of a holder that its report does not list as
-// granted. One that it lists as waiting was granted in a message that was
-// lost with the old session: the holder will not use that grant and
-// registers again. Any other one has finished.
-func (c *Cell) closeLost(h ident.Incarnation, known map[ident.RequestID]LedgerState) {
+// closeUnreportedRuns ends the runs of a holder that its report does not list as
+// granted. If the report lists the id as waiting, the grant was lost with the
+// old session: the holder will not use it and registers again. Any other run
+// has finished.
+func (c *Cell) closeUnreportedRuns(h ident.Incarnation, known map[ident.RequestID]LedgerState) {
 	for _, s := range c.servers {
 		for _, r := range append([]*run(nil), s.runs...) {
 			id := r.item.req.ID
@@ -109,9 +110,8 @@
 	}
 }
 
-// adoptOrphans gives the runs of a holder back to it: it had only lost its
-// way to us.
-func (c *Cell) adoptOrphans(h ident.Incarnation) {
+// restoreOrphans returns its runs to a holder that had only lost its connection.
+func (c *Cell) restoreOrphans(h ident.Incarnation) {
 	kept := c.orphans[:0]
 	for _, r := range c.orphans {
 		if r.item.req.Holder == h {
@@ -132,9 +132,9 @@
 	c.unpark(e.Holder)
 }
 
-// unpark lets the requests of a holder that is fresh again compete.
+// unpark queues the parked requests of a holder again once its stamp is fresh.
 func (c *Cell) unpark(h ident.Incarnation) {
-	if len(c.parked) == 0 || !c.granting(h) {
+	if len(c.parked) == 0 || !c.mayGrant(h) {
 		return
 	}
 	parked := c.parked
@@ -148,24 +148,24 @@
 	}
 }
 
-// left ends a session by the holder's own goodbye. From here on another home
-// grants to it, so our ledger covers it no longer.
+// left ends the session of a holder that moves to another home. The other home
+// grants to it from now on, so this ledger no longer covers it.
 func (c *Cell) left(e Left) {
 	if s := c.sessions[e.Holder]; s != nil {
-		c.end(s, false)
-		// Not even a proved end soon after covers it: another home may have
-		// granted to it since.
+		c.endSession(s, false)
+		// Even an end proved soon afterwards does not cover it, because another
+		// home may have granted to it since.
 		s.reported = false
 	}
 }
 
-// gone ends the session of a holder that died or is out of reach.
+// gone ends the session of a holder that died or is unreachable.
 //
-// Guard: a holder that only lost its way to us may be granted the same id by
-// another home. It keeps MoveHold after its last stamp before it does so.
-// Therefore an end that is proved within MoveHold of the last stamp means
-// that everything it was ever granted stands in our ledger; any other end
-// leaves it uncovered, and a resend of its requests is told unknown.
+// A holder that only lost its connection may be granted the same id by another
+// home, but uses no such grant until MoveHold after its last stamp. An end that
+// is proved within MoveHold of the last stamp therefore means that the ledger
+// has everything ever granted to the holder. After any other end the holder is
+// not covered, and a resend of its requests is answered with Unproved.
 func (c *Cell) gone(e Gone) {
 	s := c.sessions[e.Holder]
 	if s == nil {
@@ -179,15 +179,15 @@
 		}
 		return
 	}
-	c.end(s, e.Proved && s.reported && c.now.Sub(s.heardAt) < MoveHold)
+	c.endSession(s, e.Proved && s.reported && c.now.Sub(s.heardAt) < MoveHold)
 	if !s.covered {
 		c.emit(Action{Kind: HolderUncovered, Holder: s.holder})
 	}
 }
 
-func (c *Cell) end(s *session, covered bool) {
+func (c *Cell) endSession(s *session, covered bool) {
 	s.ended, s.covered, s.endedAt = true, covered, c.now
-	c.dropWaitingOf(s.holder)
+	c.removeWaitingOf(s.holder)
 	for _, srv := range c.servers {
 		for _, r := range srv.runs {
 			if r.item.req.Holder == s.holder && !r.orphan {
@@ -199,14 +199,13 @@
 	c.resolveResends(s.holder)
 }
 
-// dropWaitingOf takes the waiting requests of a holder out of the queue:
-// the holder that leaves registers them elsewhere, and a dead one will never
-// use a grant.
-func (c *Cell) dropWaitingOf(h ident.Incarnation) {
+// removeWaitingOf removes the waiting requests of a holder: a holder that leaves
+// registers them at its next home, and a dead one will never use a grant.
+func (c *Cell) removeWaitingOf(h ident.Incarnation) {
 	for _, q := range c.tiers {
-		for _, it := range append([]*item(nil), q.shed.items...) {
+		for _, it := range append([]*item(nil), q.shedOrder.items...) {
 			if it.req.Holder == h {
-				c.unwait(it)
+				c.removeWaiting(it)
 				c.ledger.forget(it.req.ID)
 			}
 		}
@@ -222,8 +221,8 @@
 	c.parked = kept
 }
 
-// expireSessions forgets ended holders past the horizon: their ids cannot be
-// resent any more.
+// expireSessions deletes the sessions of ended holders after the horizon, when
+// their ids can no longer be resent.
 func (c *Cell) expireSessions() {
 	for inc, s := range c.sessions {
 		if s.ended && c.now.Sub(s.endedAt) > c.horizon {
@@ -243,8 +242,8 @@
 	}
 }
 
-// Handover returns what the next home needs: the ledger, and the ended
-// holders that it covers.
+// Handover returns the state for the next home: the ledger and the ended holders
+// that it covers.
 func (c *Cell) Handover() Inherit {
 	h := Inherit{Entries: c.ledger.export()}
 	for inc, s := range c.sessions {
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -6,22 +6,22 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Bounds of the advice when to come back.
+// Bounds of the retry delay.
 const (
-	minRetry = 1 * time.Second
-	maxRetry = 60 * time.Second
+	minRetryAfter = 1 * time.Second
+	maxRetryAfter = 60 * time.Second
 )
 
-// bestCase is the fastest that any usable server is, as loaded as it is now.
-// It is found anew at each tick and change of a server, not for each request.
+// bestCase holds the shortest times of any usable server at its current load.
+// It is computed at each tick and change of a server, not for each request.
 type bestCase struct {
 	usable   bool
-	perToken time.Duration // between tokens
+	perToken time.Duration // per output token
 	prefill  time.Duration // for chunkTokens prompt tokens
-	call     time.Duration // of a plain service
+	call     time.Duration // of a request without tokens
 }
 
-func (c *Cell) findBest() bestCase {
+func (c *Cell) findBestCase() bestCase {
 	var b bestCase
 	for _, s := range c.servers {
 		if !s.usable() {
@@ -40,8 +40,8 @@
 	return b
 }
 
-// latestStart is the last moment at which the best usable server could still
-// answer r in time, taken as holding the prefix.
+// latestStart returns the last moment at which the best usable server could
+// still answer r in time, assuming that it has r's prefix cached.
 func (c *Cell) latestStart(r *Request) Time {
 	if !c.best.usable {
 		return r.Deadline
@@ -49,49 +49,50 @@
 	if r.PromptTokens == 0 {
 		return r.Deadline.Add(-c.best.call)
 	}
-	own := max(1, r.PromptTokens-r.PrefixTokens)
-	t := time.Duration(r.OutputTokens)*c.best.perToken + c.best.prefill*time.Duration(own)/chunkTokens
+	uncached := max(1, r.PromptTokens-r.PrefixTokens)
+	t := time.Duration(r.OutputTokens)*c.best.perToken + c.best.prefill*time.Duration(uncached)/chunkTokens
 	return r.Deadline.Add(-t)
 }
 
-// fireTimers ages requests that waited long for a holder, and ends those
-// that no server can answer in time any more, before prefill is spent.
-func (c *Cell) fireTimers() {
+// processTimers ages requests that waited long enough for a server with their
+// prefix, and sheds those that no server can answer in time any more, before
+// prefill is spent on them.
+func (c *Cell) processTimers() {
 	for c.timers.len() > 0 && c.timers.min().timerAt <= c.now {
 		it := c.timers.min()
-		last := c.latestStart(&it.req)
-		if c.now >= last {
+		latest := c.latestStart(&it.req)
+		if c.now >= latest {
 			c.shedLate(it)
 			continue
 		}
-		it.timerAt = last
+		it.timerAt = latest
 		if !it.aged {
-			c.age(it, last)
+			c.age(it, latest)
 		}
-		c.timers.fix(it.inTimer)
+		c.timers.fix(it.timerIndex)
 	}
 }
 
-// age lets any server take a request that waited long enough; one whose
-// prefix is held by now waits on.
-func (c *Cell) age(it *item, last Time) {
-	if at := c.agesAt(it, len(it.group.holders) > 0); c.now < at {
-		it.timerAt = min(at, last)
+// age lets any server take a request that waited long enough. A request whose
+// prefix is cached by now continues to wait.
+func (c *Cell) age(it *item, latest Time) {
+	if at := c.agesAt(it, len(it.group.cachingServers) > 0); c.now < at {
+		it.timerAt = min(at, latest)
 		return
 	}
 	it.aged = true
 	it.group.tier.aged.push(it)
 }
 
-// shedLate ends a request that cannot be answered in time. That is shedding
-// too, so the tiers below it go first: no caller of a lower tier may keep
-// its place while a higher one is turned away.
+// shedLate sheds a request that cannot be answered in time. The tiers below it
+// are shed first: no request of a lower tier may keep waiting while one of a
+// higher tier is shed.
 func (c *Cell) shedLate(it *item) {
-	c.shedBelow(it.req.Tier)
+	c.shedLowerTiers(it.req.Tier)
 	c.shed(it, failure.Deadline)
 }
 
-func (c *Cell) shedBelow(tier int) {
+func (c *Cell) shedLowerTiers(tier int) {
 	for _, it := range append([]*item(nil), c.parked...) {
 		if it.req.Tier > tier {
 			c.shedParked(it)
@@ -99,34 +100,34 @@
 	}
 	for i := len(c.tiers) - 1; i >= 0 && c.tiers[i].number > tier; i-- {
 		for c.tiers[i].len() > 0 {
-			c.shed(c.tiers[i].shed.min(), failure.Overload)
+			c.shed(c.tiers[i].shedOrder.min(), failure.Overload)
 		}
 	}
 }
 
-// shed ends a waiting request as not run. Its ledger line goes: nothing of
-// it ran, and the holder will not use a grant of it any more.
-func (c *Cell) shed(it *item, why failure.Code) {
-	c.unwait(it)
-	c.refuse(&it.req, why)
+// shed ends a waiting request as not run. Its ledger entry is removed: nothing
+// of it ran, and the holder will not use a grant for it any more.
+func (c *Cell) shed(it *item, reason failure.Code) {
+	c.removeWaiting(it)
+	c.refuse(&it.req, reason)
 }
 
-func (c *Cell) refuse(r *Request, why failure.Code) {
+func (c *Cell) refuse(r *Request, reason failure.Code) {
 	c.ledger.forget(r.ID)
-	c.emit(Action{Kind: Shed, To: r.Holder, ID: r.ID, Reason: why, RetryAfter: c.retryAfter(r.Tier)})
+	c.emit(Action{Kind: Shed, To: r.Holder, ID: r.ID, Reason: reason, RetryAfter: c.retryAfter(r.Tier)})
 }
 
-// retryAfter is the time the usable servers need for what waits in the tiers
-// up to this one.
+// retryAfter returns the time that the usable servers need for the waiting work
+// of this tier and those above it.
 func (c *Cell) retryAfter(tier int) time.Duration {
-	return min(maxRetry, max(minRetry, c.backlogTime(tier)))
+	return min(maxRetryAfter, max(minRetryAfter, c.backlogTime(tier)))
 }
 
 func (c *Cell) backlogTime(tier int) time.Duration {
 	work, speed := 0.0, 0.0
 	for _, q := range c.tiers {
 		if q.number <= tier {
-			work += q.work
+			work += q.queuedWork
 		}
 	}
 	for _, s := range c.servers {
@@ -135,17 +136,17 @@
 		}
 	}
 	if speed == 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
 	return time.Duration(work / speed * float64(time.Second))
 }
 
-// admit makes room for one more waiting request, or refuses it: the lowest
-// tier gives way, and within it the request with the latest tag, which is
-// the newest one or one of an account that floods. It reports whether it may
-// wait.
+// admit makes room for one more waiting request and reports whether it may
+// wait. When the queue is full, the lowest tier is shed first, and within it the
+// request with the latest start tag: the newest one, or one of an account that
+// floods the queue.
 func (c *Cell) admit(it *item) bool {
-	if c.waitCount+len(c.parked) < c.waiting {
+	if c.waitCount+len(c.parked) < c.maxWaiting {
 		return true
 	}
 	lowest := c.lowestWaiting()
@@ -157,7 +158,7 @@
 	if lowest == nil || lowest.number < it.req.Tier {
 		return false
 	}
-	victim := lowest.shed.min()
+	victim := lowest.shedOrder.min()
 	if lowest.number == it.req.Tier && victim.before(it) {
 		return false
 	}
@@ -165,8 +166,8 @@
 	return true
 }
 
-// lowestParked returns a parked request of the lowest tier: its holder is
-// silent, but it waits as much as any other.
+// lowestParked returns a parked request of the lowest tier. Parked requests
+// count as waiting although their holder is silent.
 func (c *Cell) lowestParked() *item {
 	var lowest *item
 	for _, it := range c.parked {
--- a/internal/core/suite_test.go
+++ b/internal/core/suite_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The random orders tried in each run; more with -rapid.checks.
+// The number of random orders in each run and their length; -rapid.checks and
+// -rapid.steps override them.
 const (
 	checks = "5000"
 	steps  = "150"
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,9 +1,25 @@
-// Package core decides for one cell (one service): which waiting request is
-// granted to which backend server, which one is shed, and what a resend may
-// conclude. It is a pure state machine: Step takes the time and one event
-// and returns actions. It reads no clock, does no I/O and starts no
-// goroutine, so the daemon, the replay and the property tests run the same
-// code and the same events always give the same actions.
+// Package core is the scheduler of one service. It decides which waiting
+// request is granted to which backend server, which one is shed, and what
+// happens to a request that a caller sends again through another entry host.
+// It is a pure state machine: Step takes the time and one event and returns
+// actions. It reads no clock, does no I/O and starts no goroutine, so the
+// daemon, the replay and the property tests run the same code, and the same
+// events always give the same actions.
+//
+// Terms:
+//
+//   - A cell is the queue and the scheduler of one service.
+//   - The home is the entry host that runs the cell for all hosts.
+//   - A holder is the entry host that received a request; it keeps the body,
+//     sends the request to a server and answers the caller.
+//   - A grant allows the holder to dispatch a request once to one server.
+//   - The ledger records which holder has which request id and whether the id
+//     was granted. Ids stay in it for the horizon, a configured duration
+//     after their last change.
+//   - A holder that ended is covered when the ledger has everything that was
+//     ever granted to it. Only then does the ledger prove that an id
+//     never ran.
+//   - To revoke an id is to ask its holder not to dispatch it any more.
 package core
 
 import (
@@ -28,34 +44,37 @@
 // different holders are not comparable.
 type Stamp int64
 
-// Request is what the home knows of a request; the body stays at the holder.
+// Request is what the home knows of a request. The body stays at the holder.
 type Request struct {
 	ID     ident.RequestID
 	Holder ident.Incarnation
-	// Attempt numbers the holder's attempts at the id. A grant carries it back:
-	// one that crossed a revocation or a withdrawal on its way belongs to an
-	// attempt that has ended, and must not serve a newer one of the same id.
+	// Attempt numbers the holder's attempts at the id. A grant carries the
+	// number back, because a grant can cross a revocation or a withdrawal on
+	// the network: it then belongs to an ended attempt and must not serve a
+	// newer one of the same id.
 	Attempt      uint32
 	Account      ident.AccountID
 	Tier         int
 	PromptTokens int
 	OutputTokens int
-	Prefix       prefix.Key // 0: shares no prefix
+	Prefix       prefix.Key // 0: no shared prefix
 	PrefixTokens int
-	Whole        prefix.Key // key of the whole prompt, held after prefill
+	Whole        prefix.Key // key of the whole prompt, cached after prefill
 	Deadline     Time
 
-	// Resend says that another holder may have had the request before.
+	// Resend is set when another holder may have had the request before;
 	// Tried lists those holders. A resend is granted only when none of them
-	// can have dispatched it.
+	// can have dispatched the request.
 	Resend bool
 	Tried  []ident.Incarnation
-	// Claimed says that the holder inserts a claim row before dispatch. The
-	// row then proves what the ledger cannot, so coverage is not needed.
+	// Claimed is set when the holder inserts a claim row into the store before
+	// dispatch. The row then proves whether the id ran, so the tried holders
+	// need not be covered.
 	Claimed bool
 }
 
-// ServerSpec is the inventory's word on a backend server.
+// ServerSpec describes a backend server as listed in the inventory. Plain is
+// set for a service whose requests have no tokens.
 type ServerSpec struct {
 	ID           ident.ServerID
 	Speed        float64
@@ -65,23 +84,23 @@
 	Leaving      bool
 }
 
-// LedgerState tells how far an id got.
+// LedgerState is the progress of an id.
 type LedgerState uint8
 
-// The states of a ledger entry, in the order they are reached.
+// The states of a ledger entry, in order of progress.
 const (
 	LedgerWaiting LedgerState = iota
 	LedgerGranted
 	LedgerDone
 )
 
-// LedgerEntry is one line of a holder's or a home's ledger.
+// LedgerEntry is one entry of a holder's or a home's ledger.
 type LedgerEntry struct {
 	ID     ident.RequestID
 	Holder ident.Incarnation
 	Server ident.ServerID
 	State  LedgerState
-	// Prefix and PrefixTokens rebuild the prefix index of a new home.
+	// Prefix and PrefixTokens let a new home rebuild its prefix index.
 	Prefix       prefix.Key
 	PrefixTokens int
 }
@@ -89,8 +108,8 @@
 // Verdict is a holder's answer to a revocation.
 type Verdict uint8
 
-// NeverRan means the holder will not dispatch the id from now on and has not
-// before. Dispatched names the server the id went to.
+// NeverRan means that the holder has not dispatched the id and will not do so
+// from now on. Dispatched means that the id was sent to a server.
 const (
 	NeverRan Verdict = iota
 	Dispatched
@@ -99,45 +118,46 @@
 // Event is an input of Step.
 type Event interface{ isEvent() }
 
-// The events, each with its source.
+// The events and their sources.
 type (
-	// Configure comes from the configuration in force.
+	// Configure carries the configuration in force.
 	Configure struct {
 		Servers []ServerSpec
 		Shares  []AccountShare
-		Waiting int           // most requests that wait
-		Horizon time.Duration // how long ids are remembered
+		Waiting int           // maximum number of waiting requests
+		Horizon time.Duration // how long the ledger keeps ids
 	}
-	// Members comes from membership: the live incarnations of this cell.
+	// Members lists the live incarnations of this cell, from membership.
 	Members struct{ Live []ident.Incarnation }
-	// Report opens a holder's session: its part of the ledger and its clock.
+	// Report opens a holder's session with its part of the ledger and its
+	// clock.
 	Report struct {
 		Holder  ident.Incarnation
 		Stamp   Stamp
 		Entries []LedgerEntry
 	}
-	// Heard is a holder's heartbeat on its session.
+	// Heard is a heartbeat of a holder on its session.
 	Heard struct {
 		Holder ident.Incarnation
 		Stamp  Stamp
 	}
-	// Left is a holder's goodbye: it follows the cell to another home.
+	// Left says that a holder moves to another home in order.
 	Left struct{ Holder ident.Incarnation }
-	// Gone ends a holder: its session broke or membership lost it. Proved is
-	// set when its process is known to have ended (its port refuses, or a
-	// newer incarnation answers at its address).
+	// Gone says that a holder's session broke or that membership lost it.
+	// Proved is set when its process is known to have ended: its port refuses
+	// connections, or a newer incarnation answers at its address.
 	Gone struct {
 		Holder ident.Incarnation
 		Proved bool
 	}
-	// Inherit is the ledger of a home that leaves.
+	// Inherit is the ledger of the previous home, handed over when it leaves.
 	Inherit struct {
 		Entries []LedgerEntry
 		Covered []ident.Incarnation
 	}
 	// Register asks for a grant.
 	Register struct{ Request Request }
-	// Withdraw takes a waiting request back: nobody wants it any more.
+	// Withdraw takes a waiting request back because its caller has left.
 	Withdraw struct {
 		ID     ident.RequestID
 		Holder ident.Incarnation
@@ -149,37 +169,38 @@
 		Verdict Verdict
 		Server  ident.ServerID
 	}
-	// Returned gives back a grant that was not used. ServerFailed says that
-	// the server refused the connection.
+	// Returned gives back an unused grant. ServerFailed is set when the server
+	// refused the connection.
 	Returned struct {
 		ID           ident.RequestID
 		Holder       ident.Incarnation
 		ServerFailed bool
 	}
-	// Finished ends a dispatched request.
+	// Finished reports the end of a dispatched request.
 	Finished struct {
 		ID           ident.RequestID
 		Holder       ident.Incarnation
-		PromptTokens int           // computed, cached ones left out
-		OutputTokens int           // 0 when the server did not say
+		PromptTokens int           // computed tokens, without cached ones
+		OutputTokens int           // 0 when the server did not report it
 		FirstToken   time.Duration // from dispatch
 		Total        time.Duration // from dispatch
-		Failed       bool          // the answer did not arrive whole
+		Failed       bool          // the answer did not arrive completely
 	}
-	// Progress sums what one holder saw of a server since its last one.
+	// Progress sums up what one holder received from a server since its last
+	// Progress.
 	Progress struct {
 		Server  ident.ServerID
 		Tokens  int
-		SeqTime time.Duration // streaming time, added over sequences
+		SeqTime time.Duration // streaming time, summed over sequences
 	}
-	// LoadReport is a server's own word, Age old when it arrives.
+	// LoadReport is a load report by the server itself, Age old on arrival.
 	LoadReport struct {
 		Server  ident.ServerID
 		Age     time.Duration
 		Running int
 	}
-	// CacheUpdate is a batch of a server's cache events. Gap says that some
-	// were lost before it; Age is how old the events are at arrival.
+	// CacheUpdate is a batch of a server's cache events. Gap is set when events
+	// before it were lost. Age is the age of the events on arrival.
 	CacheUpdate struct {
 		Server  ident.ServerID
 		Age     time.Duration
@@ -187,19 +208,19 @@
 		Stored  []prefix.Key
 		Evicted []prefix.Key
 	}
-	// ServerSignal moves a server through its chart.
+	// ServerSignal is an event of the server's state chart.
 	ServerSignal struct {
 		Server ident.ServerID
 		Signal chart.Event
 	}
-	// ServerRestarted says that a server's cache and streams are gone.
+	// ServerRestarted says that a server has lost its cache and its streams.
 	ServerRestarted struct{ Server ident.ServerID }
-	// Locate asks where an id is held.
+	// Locate asks which holder has an id.
 	Locate struct {
 		ID    ident.RequestID
 		Asker ident.Incarnation
 	}
-	// Tick lets time pass.
+	// Tick triggers time-based work such as timers and expiry.
 	Tick struct{}
 )
 
@@ -229,28 +250,29 @@
 func (Locate) isEvent()          {}
 func (Tick) isEvent()            {}
 
-// ActionKind tells what a holder is to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions.
+// The kinds of actions. To, ID, Server and so on are the fields of Action.
 const (
 	// Grant allows To to dispatch ID to Server until ValidUntil on To's clock.
 	Grant ActionKind = iota
-	// Shed ends ID as not run, for Reason, to come back after RetryAfter.
+	// Shed ends ID as not run, for Reason; the caller may retry after
+	// RetryAfter.
 	Shed
-	// Revoke asks To to give ID up, or to say where it went.
+	// Revoke asks To to give ID up, or to report where it was dispatched.
 	Revoke
-	// Attach tells To that ID is or was held by Holder and went to Server.
+	// Attach tells To that Holder has or had ID and that it went to Server.
 	Attach
-	// Unproved tells To that nobody can prove whether ID ran.
+	// Unproved tells To that it can't be proved whether ID ran.
 	Unproved
-	// ServerChanged is news for the log: Server is now in State.
+	// ServerChanged is for the log only: the state of Server is now State.
 	ServerChanged
-	// HolderUncovered is news for the log: Holder ended without its ledger.
+	// HolderUncovered is for the log only: Holder ended and is not covered.
 	HolderUncovered
 )
 
-// Action is an output of Step, addressed to one holder or to the log.
+// Action is an output of Step, for one holder or for the log.
 type Action struct {
 	Kind       ActionKind
 	To         ident.Incarnation
@@ -258,7 +280,7 @@
 	Server     ident.ServerID
 	Holder     ident.Incarnation
 	ValidUntil Stamp
-	Attempt    uint32 // of a grant
+	Attempt    uint32 // of the granted request
 	Reason     failure.Code
 	RetryAfter time.Duration
 	State      chart.State
