--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -152,7 +152,7 @@
 			return Place{ID: id, Server: d.Server, Address: d.Address, Alone: c.decidedLocally(p), ListAge: c.servers.Age()}, nil
 		case <-ctx.Done():
 			c.withdraw(id)
-			return Place{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a placement")
+			return Place{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a place")
 		}
 	}
 }
