--- a/caller/call.go
+++ b/caller/call.go
@@ -155,7 +155,7 @@
 	}
 	if len(k.tried) == 0 {
 		// Nothing was sent so far: a fresh id under this host's ticket.
-		k.id = ident.Mint(inc)
+		k.id = ident.NewRequestID(inc)
 		if k.req.Key != "" {
 			k.id = ident.RequestID{}
 		}
--- a/cmd/gentianlab/load.go
+++ b/cmd/gentianlab/load.go
@@ -176,7 +176,7 @@
 func (l *loader) one(ctx context.Context, q lab.Request) {
 	k := l.load.Kinds[q.Kind]
 	c := standin.Call{
-		Path: k.Path, Body: k.Body, Key: standin.AccountKey, Prompt: q.Prompt, Output: q.Output, Deadline: k.Deadline,
+		Path: k.Path, Body: k.Body, Key: standin.DefaultAccountKey, Prompt: q.Prompt, Output: q.Output, Deadline: k.Deadline,
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Deadline)
 	defer cancel()
@@ -193,14 +193,14 @@
 
 // judge tells how a request ended for its caller.
 func judge(k lab.Kind, c standin.Call, r standin.Reply) (lab.End, time.Duration) {
-	latency := r.Took
+	latency := r.Duration
 	if c.Prompt > 0 {
 		latency = r.FirstByte
 	}
 	switch {
 	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
 		return lab.Refused, latency
-	case r.Status != http.StatusOK || !r.Whole:
+	case r.Status != http.StatusOK || !r.Complete:
 		return lab.Failed, latency
 	case r.Body != c.Expected(r.Attempt):
 		return lab.Wrong, latency
--- a/cmd/gentianlab/platform.go
+++ b/cmd/gentianlab/platform.go
@@ -54,7 +54,7 @@
 func startServers(store *standin.Store, cmd *cli.Command) error {
 	for i := range cmd.Int("engines") {
 		_, err := standin.StartServer(store, standin.ServerSpec{
-			ID: fmt.Sprintf("engine-%d", i), Service: standin.EngineName, Zone: zone(i), Address: "127.0.0.1:0",
+			ID: fmt.Sprintf("engine-%d", i), Service: standin.EngineService, Zone: zone(i), Address: "127.0.0.1:0",
 			Slots: slots, Queue: queue, Streams: true, PerEvent: eventPause, Speed: speeds[i%len(speeds)],
 		})
 		if err != nil {
@@ -63,7 +63,7 @@
 	}
 	for i := range cmd.Int("apps") {
 		_, err := standin.StartServer(store, standin.ServerSpec{
-			ID: fmt.Sprintf("app-%d", i), Service: standin.AppName, Zone: zone(i), Address: "127.0.0.1:0",
+			ID: fmt.Sprintf("app-%d", i), Service: standin.AppService, Zone: zone(i), Address: "127.0.0.1:0",
 			Slots: slots, Queue: queue, Work: callWork,
 		})
 		if err != nil {
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -10,8 +10,7 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Orderer speaks the order side of a model engine. It implements
-// order.Orderer.
+// Orderer speaks the order side of a model engine. It implements order.ServerClient.
 type Orderer struct{ w *Watcher }
 
 // NewOrderer makes an orderer over a shared transport.
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -40,12 +40,12 @@
 // API serves callers.
 type API struct {
 	src      Sources
-	prefixes *prefix.Seen
+	prefixes *prefix.BlockSet
 }
 
 // New makes the API.
 func New(src Sources) (*API, error) {
-	seen, err := prefix.NewSeen(seenBlocks)
+	seen, err := prefix.NewBlockSet(seenBlocks)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -127,13 +127,13 @@
 	if s.OutputTokens == 0 {
 		s.OutputTokens = defaultMaxTokens
 	}
-	s.Whole = prefix.Whole(text)
+	s.Whole = prefix.FullKey(text)
 	tokens, given, err := intHeader(r, HeaderPrefixTokens, len(text))
 	if err != nil {
 		return err
 	}
 	if given {
-		s.Prefix, s.PrefixTokens = prefix.At(text, tokens)
+		s.Prefix, s.PrefixTokens = prefix.KeyAt(text, tokens)
 		return nil
 	}
 	s.Prefix, s.PrefixTokens = a.prefixes.Observe(text)
@@ -245,10 +245,10 @@
 	case len(key) > maxKeyBytes:
 		return failure.New(failure.BadRequest, "%s of %d bytes; at most %d are allowed", HeaderKey, len(key), maxKeyBytes)
 	case key != "":
-		s.ID, s.Keyed = ident.Keyed(s.Account, key), true
+		s.ID, s.Keyed = ident.KeyedRequestID(s.Account, key), true
 		return nil
 	case id == "":
-		s.ID = ident.Mint(a.src.Members.Self().Incarnation)
+		s.ID = ident.NewRequestID(a.src.Members.Self().Incarnation)
 		return nil
 	}
 	if s.ID, err = ident.ParseRequestID(id); err != nil {
--- a/internal/cellwire/holder.go
+++ b/internal/cellwire/holder.go
@@ -22,15 +22,15 @@
 	case *wire.Frame_Register:
 		return register(b.Register, holder, now)
 	case *wire.Frame_Withdraw:
-		id, err := ident.FromBytes(b.Withdraw)
+		id, err := ident.RequestIDFromBytes(b.Withdraw)
 		return core.Withdraw{ID: id, Holder: holder}, err
 	case *wire.Frame_Locate:
-		id, err := ident.FromBytes(b.Locate)
+		id, err := ident.RequestIDFromBytes(b.Locate)
 		return core.Locate{ID: id, Asker: holder}, err
 	case *wire.Frame_RevokeAnswer:
 		return revokeAnswer(b.RevokeAnswer, holder)
 	case *wire.Frame_Returned:
-		id, err := ident.FromBytes(b.Returned.GetId())
+		id, err := ident.RequestIDFromBytes(b.Returned.GetId())
 		return core.Returned{ID: id, Holder: holder, ServerFailed: b.Returned.GetServerFailed()}, err
 	case *wire.Frame_Finished:
 		return finished(b.Finished, holder)
@@ -43,7 +43,7 @@
 }
 
 func register(r *wire.Register, holder ident.Incarnation, now core.Time) (core.Event, error) {
-	id, err := ident.FromBytes(r.GetId())
+	id, err := ident.RequestIDFromBytes(r.GetId())
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 }
 
 func revokeAnswer(a *wire.RevokeAnswer, holder ident.Incarnation) (core.Event, error) {
-	id, err := ident.FromBytes(a.GetId())
+	id, err := ident.RequestIDFromBytes(a.GetId())
 	ev := core.RevokeAnswer{ID: id, Holder: holder, Server: ident.ServerID(a.GetServer())}
 	if a.GetDispatched() {
 		ev.Verdict = core.Dispatched
@@ -70,7 +70,7 @@
 }
 
 func finished(f *wire.Finished, holder ident.Incarnation) (core.Event, error) {
-	id, err := ident.FromBytes(f.GetId())
+	id, err := ident.RequestIDFromBytes(f.GetId())
 	return core.Finished{
 		ID: id, Holder: holder, PromptTokens: int(f.GetPromptTokens()), OutputTokens: int(f.GetOutputTokens()),
 		FirstToken: micros(uint64(f.GetFirstTokenUs())), Total: micros(uint64(f.GetTotalUs())), Failed: f.GetFailed(),
@@ -123,7 +123,7 @@
 
 // Entry reads a ledger line.
 func Entry(l *wire.LedgerLine) (core.LedgerEntry, error) {
-	id, err := ident.FromBytes(l.GetId())
+	id, err := ident.RequestIDFromBytes(l.GetId())
 	if err != nil {
 		return core.LedgerEntry{}, err
 	}
--- a/internal/cellwire/home.go
+++ b/internal/cellwire/home.go
@@ -54,7 +54,7 @@
 	default:
 		return a, failure.New(failure.BadFrame, "frame %T is not for a holder", f.Body)
 	}
-	id, err := ident.FromBytes(raw)
+	id, err := ident.RequestIDFromBytes(raw)
 	a.ID = id
 	return a, err
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -28,8 +28,8 @@
 	releaseWait   = 1 * time.Second
 )
 
-// Owner is the value of a claim row.
-type Owner struct {
+// Claimant is the value of a claim row.
+type Claimant struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Token       ident.RequestID   `json:"token"` // unique per claim
 	Server      ident.ServerID    `json:"server"`
@@ -40,15 +40,15 @@
 // be dispatched then.
 type Result struct {
 	Won     bool
-	Owner   Owner  // of the row, if another claim holds it
-	Version uint64 // of the row, for a takeover
+	Owner   Claimant // of the row, if another claim holds it
+	Version uint64   // of the row, for a takeover
 	Err     error
 }
 
 type pendingClaim struct {
 	ctx       context.Context
 	id        ident.RequestID
-	claimant  Owner
+	claimant  Claimant
 	ifVersion uint64
 	done      chan Result
 }
@@ -70,7 +70,7 @@
 
 // Claim inserts the row of id, or replaces its version ifVersion (0: there must be no row). It
 // returns when the outcome is known or ctx ends.
-func (c *Claimer) Claim(ctx context.Context, id ident.RequestID, claimant Owner, ifVersion uint64) Result {
+func (c *Claimer) Claim(ctx context.Context, id ident.RequestID, claimant Claimant, ifVersion uint64) Result {
 	p := &pendingClaim{ctx: ctx, id: id, claimant: claimant, ifVersion: ifVersion, done: make(chan Result, 1)}
 	if !c.queue.TryPush(p) {
 		return Result{Err: failure.New(failure.RingFull, "%d claims wait", queueSize)}
@@ -164,7 +164,7 @@
 }
 
 func resultOf(p *pendingClaim, row platform.Row) Result {
-	var owner Owner
+	var owner Claimant
 	if err := json.Unmarshal(row.Value, &owner); err != nil {
 		return Result{Err: failure.Wrap(failure.StoreDown, err, "claim row of %s", p.id)}
 	}
@@ -178,7 +178,7 @@
 // The insert may still be in flight when the claim is given up, and arrive after the first
 // check found nothing to delete. The row would then block its key, so it is checked several
 // times.
-func (c *Claimer) Release(ctx context.Context, id ident.RequestID, claimant Owner) {
+func (c *Claimer) Release(ctx context.Context, id ident.RequestID, claimant Claimant) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	for checks := 0; checks < releaseChecks; {
@@ -198,12 +198,12 @@
 }
 
 // deleteOwn deletes the row if it carries the token of claimant, and reports whether it did.
-func (c *Claimer) deleteOwn(ctx context.Context, id ident.RequestID, claimant Owner) (deleted bool, err error) {
+func (c *Claimer) deleteOwn(ctx context.Context, id ident.RequestID, claimant Claimant) (deleted bool, err error) {
 	row, err := c.table.Get(ctx, Key(id))
 	if err != nil {
 		return false, err
 	}
-	var owner Owner
+	var owner Claimant
 	if json.Unmarshal(row.Value, &owner) != nil || owner.Token != claimant.Token {
 		return false, nil
 	}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -37,7 +37,7 @@
 		client := httpplatform.New(server.URL, nil, time.Second)
 		DeferCleanup(client.Close)
 		c := claim.New(client, event.NewRecorder("h", "1", 10, log.NewNopLogger()))
-		id, claimant := ident.Keyed("a", "k"), claim.Owner{Incarnation: 1, Token: ident.Mint(1)}
+		id, claimant := ident.KeyedRequestID("a", "k"), claim.Claimant{Incarnation: 1, Token: ident.NewRequestID(1)}
 		released := make(chan struct{})
 		go func() {
 			defer close(released)
@@ -73,8 +73,8 @@
 			claimers.Go(func() { c.Run(ctx) })
 			for k := range 25 {
 				calls.Go(func() {
-					id := ident.Keyed("a", fmt.Sprint(k))
-					claimant := claim.Owner{Incarnation: incarnation, Token: ident.Mint(incarnation)}
+					id := ident.KeyedRequestID("a", fmt.Sprint(k))
+					claimant := claim.Claimant{Incarnation: incarnation, Token: ident.NewRequestID(incarnation)}
 					limit, stop := context.WithTimeout(ctx, 5*time.Second)
 					defer stop()
 					begin := time.Now().UnixNano()
--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -144,9 +144,9 @@
 	return p.Changes, err
 }
 
-// Offer returns the configuration in force if its version is above the given one, for a peer
+// NewerThan returns the configuration in force if its version is above the given one, for a peer
 // that asks.
-func (s *Syncer) Offer(above uint64) (*InForce, bool) {
+func (s *Syncer) NewerThan(above uint64) (*InForce, bool) {
 	c := s.Current()
 	if c == nil || c.Version <= above {
 		return nil, false
--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -33,7 +33,7 @@
 var _ = Describe("the configuration register", func() {
 	var text []byte
 	var p *standin.Platform
-	var newSyncer func(peers configsync.PeerSource) *configsync.Syncer
+	var newSyncer func(peers configsync.FetchFromPeers) *configsync.Syncer
 	BeforeEach(func() {
 		var err error
 		text, err = os.ReadFile("../../examples/demo.yaml")
@@ -41,7 +41,7 @@
 		p = standin.NewPlatform(0)
 		server := httptest.NewServer(p.Handler())
 		DeferCleanup(server.Close)
-		newSyncer = func(peers configsync.PeerSource) *configsync.Syncer {
+		newSyncer = func(peers configsync.FetchFromPeers) *configsync.Syncer {
 			client := httpplatform.New(server.URL, nil, time.Second)
 			DeferCleanup(client.Close)
 			return configsync.New(client, client, peers, event.NewRecorder("h", "1", 100, log.NewNopLogger()))
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -25,15 +25,15 @@
 	Document *config.Document
 }
 
-// PeerSource fetches a document with a version above the given one from another host. It fails
-// if no peer has one.
-type PeerSource func(ctx context.Context, above uint64) (version uint64, changeID string, text []byte, err error)
+// FetchFromPeers fetches a document with a version above the given one from another host. It
+// fails if no peer has one.
+type FetchFromPeers func(ctx context.Context, above uint64) (version uint64, changeID string, text []byte, err error)
 
 // Syncer maintains the configuration in force. mu guards current, lastStore and storeDown.
 type Syncer struct {
 	table   platform.Table
 	objects platform.Objects
-	peers   PeerSource
+	peers   FetchFromPeers
 	events  *event.Recorder
 
 	mu        sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 // New returns a syncer without a configuration.
-func New(table platform.Table, objects platform.Objects, peers PeerSource, events *event.Recorder) *Syncer {
+func New(table platform.Table, objects platform.Objects, peers FetchFromPeers, events *event.Recorder) *Syncer {
 	return &Syncer{
 		table: table, objects: objects, peers: peers, events: events,
 		lastStore: time.Now(), wake: make(chan struct{}, 1),
@@ -60,8 +60,8 @@
 	return s.current
 }
 
-// LastStore returns when the table service last answered.
-func (s *Syncer) LastStore() time.Time {
+// LastStoreAnswer returns when the table service last answered.
+func (s *Syncer) LastStoreAnswer() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastStore
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -165,7 +165,7 @@
 	})
 	id := peer.Identity{Incarnation: d.inc, Host: d.set.Host, Fleet: d.set.Fleet}
 	d.peers = peer.NewManager(id, d.set.AdvertiseControl, d.serveStream, peerNews{d}, d.events, &d.traffic)
-	d.peers.DialFrom(d.control.Addr().(*net.TCPAddr).IP)
+	d.peers.SetLocalIP(d.control.Addr().(*net.TCPAddr).IP)
 	d.homes.SetPeers(d.peers)
 	d.holder.SetPeers(d.peers)
 }
@@ -277,7 +277,7 @@
 		case <-ctx.Done():
 			return
 		}
-		newest := d.config.LastStore()
+		newest := d.config.LastStoreAnswer()
 		if peers := d.gossip.LastAnswer(); peers.After(newest) {
 			newest = peers
 		}
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -109,7 +109,7 @@
 	configTimeout = 2 * time.Second
 )
 
-// configFromPeers implements configsync.PeerSource.
+// configFromPeers implements configsync.FetchFromPeers.
 func (d *Daemon) configFromPeers(ctx context.Context, above uint64) (uint64, string, []byte, error) {
 	peers := d.newerPeers(above)
 	for _, m := range peers[:min(configTries, len(peers))] {
@@ -132,18 +132,18 @@
 		return nil, err
 	}
 	var reply wire.ConfigReply
-	return &reply, wire.Read(st.R, &reply)
+	return &reply, wire.Read(st.Reader, &reply)
 }
 
 func (d *Daemon) serveConfig(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
 	_ = st.SetDeadline(time.Now().Add(configTimeout))
 	var req wire.ConfigRequest
-	if wire.Read(st.R, &req) != nil {
+	if wire.Read(st.Reader, &req) != nil {
 		return
 	}
 	reply := &wire.ConfigReply{}
-	if c, ok := d.config.Offer(req.Above); ok {
+	if c, ok := d.config.NewerThan(req.Above); ok {
 		reply.Version, reply.ChangeId, reply.Document = c.Version, c.ChangeID, c.Text
 	}
 	_ = wire.Write(st, reply) // the asker tries another peer
@@ -195,16 +195,16 @@
 	refuseTimeout = 300 * time.Millisecond
 )
 
-// Broke implements peer.Observer. A process that dies ends its sessions and
+// SessionEnded implements peer.Observer. A process that dies ends its sessions and
 // its port refuses; asking the port at once proves the death milliseconds
 // after it, before the next probe would notice.
-func (n peerNews) Broke(inc ident.Incarnation) {
+func (n peerNews) SessionEnded(inc ident.Incarnation) {
 	m, ok := n.d.members.Get(inc)
 	if !ok || m.Proved || inc == n.d.inc {
 		return
 	}
 	for range refuseTries {
-		if member.Refuses(m.ControlAddress, refuseTimeout) {
+		if member.RefusesConnections(m.ControlAddress, refuseTimeout) {
 			n.d.members.ProveDead(inc, "its session ended and its port refuses")
 			return
 		}
--- a/internal/dispatch/follower_test.go
+++ b/internal/dispatch/follower_test.go
@@ -27,7 +27,7 @@
 		if i >= live {
 			w.State = wire.MemberState_MEMBER_DEAD
 		}
-		members.Learn(w)
+		members.ApplyReport(w)
 	}
 	var got sched.Share
 	c := NewClient(ident.Incarnation(self), "z", NewLoop(sched.DefaultPolicy(), events, func([]sched.Decision) {}), serverListFunc(neverLeaving), events)
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -63,7 +63,7 @@
 	defer stop()
 	for {
 		m := &wire.ToHome{}
-		if wire.Read(st.R, m) != nil {
+		if wire.Read(st.Reader, m) != nil {
 			break
 		}
 		h.handle(ctx, l, m)
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -44,7 +44,7 @@
 // openLink opens a link of a holder; all links have the same incarnation.
 func openLink(h *Home) *holderEnd {
 	near, far := net.Pipe()
-	st := &peer.Stream{Conn: far, R: bufio.NewReader(far), Peer: peer.Identity{Incarnation: self}, Open: &wire.Open{Service: "z"}}
+	st := &peer.Stream{Conn: far, Reader: bufio.NewReader(far), Peer: peer.Identity{Incarnation: self}, Open: &wire.Open{Service: "z"}}
 	go h.Serve(context.Background(), st)
 	DeferCleanup(near.Close)
 	return &holderEnd{conn: near, r: bufio.NewReader(near)}
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -112,7 +112,7 @@
 func (f *Follower) read(l *homeLink) {
 	for {
 		m := &wire.ToHolder{}
-		if wire.Read(l.stream.R, m) != nil {
+		if wire.Read(l.stream.Reader, m) != nil {
 			return
 		}
 		l.lastReceived.Store(int64(time.Since(l.openedAt)))
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -67,15 +67,15 @@
 	HomeServerState Code = 311
 	ShareChanged    Code = 312
 
-	MemberJoined   Code = 401
-	MemberSuspect  Code = 402
-	MemberDead     Code = 403
-	MemberLeaving  Code = 404
-	PeerOpened     Code = 405
-	PeerSilent     Code = 406
-	PeerRefused    Code = 407
-	MemberForgot   Code = 408
-	MemberProvedBy Code = 409
+	MemberJoined     Code = 401
+	MemberSuspect    Code = 402
+	MemberDead       Code = 403
+	MemberLeaving    Code = 404
+	PeerOpened       Code = 405
+	PeerSilent       Code = 406
+	PeerRefused      Code = 407
+	MemberForgotten  Code = 408
+	MemberProvedDead Code = 409
 
 	ConfigInForce  Code = 501
 	ConfigRefused  Code = 502
@@ -158,15 +158,15 @@
 	ShareChanged:    {"share_changed", Info, "This host schedules with another part of all servers and quotas: 1 as the home, less when it decides for itself, detail gives it."},
 	HomeServerState: {"home_server_state", Info, "The home sees a backend server in another state."},
 
-	MemberJoined:   {"member_joined", Info, "A new incarnation of an entry host was heard of."},
-	MemberSuspect:  {"member_suspect", Warn, "A member missed its heartbeat deadline."},
-	MemberDead:     {"member_dead", Warn, "A member is counted as dead."},
-	MemberLeaving:  {"member_leaving", Info, "A member drains."},
-	PeerOpened:     {"peer_opened", Trace, "A session to another host was opened."},
-	PeerSilent:     {"peer_silent", Warn, "A session stopped answering and was replaced."},
-	PeerRefused:    {"peer_refused", Warn, "A session was refused; detail gives the reason."},
-	MemberForgot:   {"member_forgotten", Trace, "A dead member passed the horizon."},
-	MemberProvedBy: {"member_proved_dead", Info, "The end of an incarnation was proved; detail tells how."},
+	MemberJoined:     {"member_joined", Info, "A new incarnation of an entry host was heard of."},
+	MemberSuspect:    {"member_suspect", Warn, "A member missed its heartbeat deadline."},
+	MemberDead:       {"member_dead", Warn, "A member is counted as dead."},
+	MemberLeaving:    {"member_leaving", Info, "A member drains."},
+	PeerOpened:       {"peer_opened", Trace, "A session to another host was opened."},
+	PeerSilent:       {"peer_silent", Warn, "A session stopped answering and was replaced."},
+	PeerRefused:      {"peer_refused", Warn, "A session was refused; detail gives the reason."},
+	MemberForgotten:  {"member_forgotten", Trace, "A dead member passed the horizon."},
+	MemberProvedDead: {"member_proved_dead", Info, "The end of an incarnation was proved; detail tells how."},
 
 	ConfigInForce:  {"config_in_force", Info, "A configuration version is in force on this host."},
 	ConfigRefused:  {"config_refused", Warn, "A configuration could not be read or checked."},
--- a/internal/holder/dispatch.go
+++ b/internal/holder/dispatch.go
@@ -144,7 +144,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(until-r.h.stamp()))
 	defer cancel()
-	mine := claim.Owner{Incarnation: r.h.self, Token: r.token, Server: server, Expires: time.Now().Add(r.h.claimHorizon())}
+	mine := claim.Claimant{Incarnation: r.h.self, Token: r.token, Server: server, Expires: time.Now().Add(r.h.claimHorizon())}
 	res := r.h.src.Claims.Claim(ctx, r.Sub.ID, mine, 0)
 	if res.Err == nil && !res.Won && r.h.unused.has(res.Owner.Token) {
 		// The row is of an earlier attempt at this host that never ran and
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -356,7 +356,7 @@
 		return nil, false
 	}
 	for i := range svc.BackendServers {
-		if ident.Server(svc.BackendServers[i].Name) == id {
+		if ident.ServerIDOf(svc.BackendServers[i].Name) == id {
 			return &svc.BackendServers[i], true
 		}
 	}
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -262,7 +262,7 @@
 	defer close(s.gone)
 	for {
 		var b wire.Batch
-		if wire.Read(s.st.R, &b) != nil {
+		if wire.Read(s.st.Reader, &b) != nil {
 			return
 		}
 		l.h.src.Events.Witness(b.Lamport)
--- a/internal/holder/record.go
+++ b/internal/holder/record.go
@@ -103,7 +103,7 @@
 }
 
 func newRecord(h *Holder, sub Submission) *Record {
-	r := &Record{h: h, Sub: sub, answer: newAnswer(), machine: requestChart.Start(), token: ident.Mint(h.self), attempt: h.attempts.Add(1), idleSince: time.Now()}
+	r := &Record{h: h, Sub: sub, answer: newAnswer(), machine: requestChart.Start(), token: ident.NewRequestID(h.self), attempt: h.attempts.Add(1), idleSince: time.Now()}
 	r.deadline = time.AfterFunc(time.Until(sub.Deadline), r.deadlinePassed)
 	return r
 }
@@ -262,7 +262,7 @@
 	r.claimAsked = false
 	r.mu.Unlock()
 	if asked {
-		owner := claim.Owner{Incarnation: r.h.self, Token: r.token}
+		owner := claim.Claimant{Incarnation: r.h.self, Token: r.token}
 		r.h.unused.add(r.token)
 		r.h.background(func(ctx context.Context) { r.h.src.Claims.Release(ctx, r.Sub.ID, owner) })
 	}
@@ -303,7 +303,7 @@
 func (r *Record) coreRequest() core.Request {
 	s := &r.Sub
 	return core.Request{
-		ID: s.ID, Holder: r.h.self, Attempt: r.attempt, Account: ident.Account(s.Account), Tier: s.Tier,
+		ID: s.ID, Holder: r.h.self, Attempt: r.attempt, Account: ident.AccountIDOf(s.Account), Tier: s.Tier,
 		PromptTokens: s.PromptTokens, OutputTokens: s.OutputTokens,
 		Prefix: s.Prefix, PrefixTokens: s.PrefixTokens, Whole: s.Whole,
 		Resend: s.Resend, Tried: s.Tried, Claimed: s.claimed(),
--- a/internal/holder/relay.go
+++ b/internal/holder/relay.go
@@ -106,7 +106,7 @@
 		return relayBroke
 	}
 	defer func() { _ = st.Close() }()
-	ask := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.Account(r.Sub.Account)), Offset: uint64(r.answer.size())}
+	ask := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.AccountIDOf(r.Sub.Account)), Offset: uint64(r.answer.size())}
 	if wire.Write(st, ask) != nil {
 		return relayBroke
 	}
@@ -170,7 +170,7 @@
 
 func readWithin(st *peer.Stream, m wire.Message, d time.Duration) error {
 	_ = st.SetReadDeadline(time.Now().Add(d))
-	return wire.Read(st.R, m)
+	return wire.Read(st.Reader, m)
 }
 
 // resumeAt continues the stream at the server it was dispatched to. It
@@ -202,7 +202,7 @@
 		return false
 	}
 	for i := range svc.BackendServers {
-		if r.resumeAt(ctx, ident.Server(svc.BackendServers[i].Name)) {
+		if r.resumeAt(ctx, ident.ServerIDOf(svc.BackendServers[i].Name)) {
 			return true
 		}
 	}
@@ -252,12 +252,12 @@
 // attachable finds the record that is held here, not one that is itself
 // followed from elsewhere: two hosts would wait for each other.
 func (h *Holder) attachable(ask *wire.AttachRequest) *Record {
-	id, err := ident.FromBytes(ask.GetId())
+	id, err := ident.RequestIDFromBytes(ask.GetId())
 	if err != nil {
 		return nil
 	}
 	r, ok := h.Get(id)
-	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.Account(r.Sub.Account)) != ask.GetAccount() {
+	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.AccountIDOf(r.Sub.Account)) != ask.GetAccount() {
 		return nil
 	}
 	return r
--- a/internal/home/cell.go
+++ b/internal/home/cell.go
@@ -187,7 +187,7 @@
 	ev := core.Configure{Waiting: doc.Rules.Limits.Waiting, Horizon: doc.Rules.Limits.Horizon.Std()}
 	names := map[ident.ServerID]string{}
 	for _, b := range svc.BackendServers {
-		id := ident.Server(b.Name)
+		id := ident.ServerIDOf(b.Name)
 		names[id] = b.Name
 		ev.Servers = append(ev.Servers, core.ServerSpec{
 			ID: id, Speed: b.Speed, MaxSequences: b.MaxSequences, CacheTokens: b.CacheTokens,
@@ -195,7 +195,7 @@
 		})
 	}
 	for _, a := range doc.ClientAccounts {
-		ev.Shares = append(ev.Shares, core.AccountShare{Account: ident.Account(a.Name), Share: a.Share})
+		ev.Shares = append(ev.Shares, core.AccountShare{Account: ident.AccountIDOf(a.Name), Share: a.Share})
 	}
 	c.push(input{event: ev, ask: func(*core.Cell) { c.names = names }})
 }
--- a/internal/home/link.go
+++ b/internal/home/link.go
@@ -35,7 +35,7 @@
 	var out core.Report
 	for {
 		var b wire.Batch
-		if err := wire.Read(st.R, &b); err != nil {
+		if err := wire.Read(st.Reader, &b); err != nil {
 			return out, err
 		}
 		for _, f := range b.Frames {
@@ -59,7 +59,7 @@
 func (c *cell) readLink(st *peer.Stream, l *link) {
 	for {
 		var b wire.Batch
-		if err := wire.Read(st.R, &b); err != nil {
+		if err := wire.Read(st.Reader, &b); err != nil {
 			return
 		}
 		c.events.Witness(b.Lamport)
--- a/internal/home/manager.go
+++ b/internal/home/manager.go
@@ -292,7 +292,7 @@
 			return // the new home rebuilds from the holders' reports
 		}
 		defer func() { _ = st.Close() }()
-		if wire.Write(st, msg) == nil && wire.Read(st.R, &wire.HandoverNoted{}) == nil {
+		if wire.Write(st, msg) == nil && wire.Read(st.Reader, &wire.HandoverNoted{}) == nil {
 			m.events.Record(event.HomeHandover, event.Fields{Service: service, Peer: to.Host})
 		}
 	})
@@ -302,7 +302,7 @@
 func (m *Manager) ServeHandover(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
 	var msg wire.Handover
-	if wire.Read(st.R, &msg) != nil {
+	if wire.Read(st.Reader, &msg) != nil {
 		return
 	}
 	entries, err := cellwire.Entries(msg.Lines)
--- a/internal/home/orders.go
+++ b/internal/home/orders.go
@@ -13,13 +13,13 @@
 // until its cell closes; the lease keeps two from ordering at once.
 func (m *Manager) giveOrders(h *hosted, service string) {
 	self := m.src.Members.Self().Incarnation
-	giver := order.NewGiver(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
-	tick := time.NewTicker(order.Period)
+	giver := order.NewReconciler(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
+	tick := time.NewTicker(order.ReconcilePeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			giver.Round(h.cell.ctx, m.wishes(h, service))
+			giver.Reconcile(h.cell.ctx, m.wishes(h, service))
 		case <-h.cell.ctx.Done():
 			return
 		}
@@ -28,7 +28,7 @@
 
 // wishes lists the servers for which the inventory wants a state; none when
 // another host is the home.
-func (m *Manager) wishes(h *hosted, service string) []order.Wish {
+func (m *Manager) wishes(h *hosted, service string) []order.DesiredState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if h.applied == nil || !h.lost.IsZero() {
@@ -38,10 +38,10 @@
 	if !ok {
 		return nil
 	}
-	var out []order.Wish
+	var out []order.DesiredState
 	for _, b := range svc.BackendServers {
 		if b.Wants != "" {
-			out = append(out, order.Wish{Server: b.Name, State: b.Wants, Orderer: backend.NewOrderer(b.Address, m.src.Watch)})
+			out = append(out, order.DesiredState{Server: b.Name, State: b.Wants, ServerClient: backend.NewOrderer(b.Address, m.src.Watch)})
 		}
 	}
 	return out
--- a/internal/home/watch.go
+++ b/internal/home/watch.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func (w *serverWatch) id() ident.ServerID { return ident.Server(w.server.Name) }
+func (w *serverWatch) id() ident.ServerID { return ident.ServerIDOf(w.server.Name) }
 
 func (w *serverWatch) load(ctx context.Context) {
 	l, err := w.reports.Load(ctx)
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -54,8 +54,8 @@
 // Idempotency-Key.
 type RequestID [requestIDLen]byte
 
-// Mint generates a random id that begins with the given incarnation.
-func Mint(firstHost Incarnation) RequestID {
+// NewRequestID generates a random id that begins with the given incarnation.
+func NewRequestID(firstHost Incarnation) RequestID {
 	var id RequestID
 	binary.BigEndian.PutUint64(id[:8], uint64(firstHost))
 	if _, err := rand.Read(id[8:]); err != nil {
@@ -64,8 +64,8 @@
 	return id
 }
 
-// Keyed derives the id of a request that carries an Idempotency-Key.
-func Keyed(account, key string) RequestID {
+// KeyedRequestID derives the id of a request that carries an Idempotency-Key.
+func KeyedRequestID(account, key string) RequestID {
 	sum := sha256.Sum256([]byte(account + "\x00" + key))
 	var id RequestID
 	copy(id[:], sum[:requestIDLen])
@@ -106,8 +106,8 @@
 	return id, nil
 }
 
-// FromBytes decodes an id from a wire message. It fails with BadFrame.
-func FromBytes(b []byte) (RequestID, error) {
+// RequestIDFromBytes decodes an id from a wire message. It fails with BadFrame.
+func RequestIDFromBytes(b []byte) (RequestID, error) {
 	var id RequestID
 	if len(b) != requestIDLen {
 		return id, failure.New(failure.BadFrame, "request id has %d bytes", len(b))
--- a/internal/ident/names.go
+++ b/internal/ident/names.go
@@ -9,8 +9,8 @@
 	AccountID uint32
 )
 
-// Server returns the id of a backend server's name.
-func Server(name string) ServerID { return ServerID(xxhash.Sum64String(name)) }
+// ServerIDOf returns the id of a backend server's name.
+func ServerIDOf(name string) ServerID { return ServerID(xxhash.Sum64String(name)) }
 
-// Account returns the id of a client account's name.
-func Account(name string) AccountID { return AccountID(xxhash.Sum64String(name)) }
+// AccountIDOf returns the id of a client account's name.
+func AccountIDOf(name string) AccountID { return AccountID(xxhash.Sum64String(name)) }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -23,11 +23,11 @@
 )
 
 // TTL is how long a lease lasts from before the call that acquired it. Another host takes it
-// over after it has seen the row unchanged for TTL plus Margin on its own clock; clocks of two
-// hosts are never compared.
+// over after it has seen the row unchanged for TTL plus TakeoverMargin on its own clock;
+// clocks of two hosts are never compared.
 const (
-	TTL    = 4 * time.Second
-	Margin = 1 * time.Second
+	TTL            = 4 * time.Second
+	TakeoverMargin = 1 * time.Second
 )
 
 var leaseChart = charts.MustLoad().Lease
@@ -86,9 +86,9 @@
 	}
 }
 
-// Try acquires the lease or renews it, and reports whether it is held after the call. If the
+// AcquireOrRenew acquires the lease or renews it, and reports whether it is held after the call. If the
 // call fails, the lease stays held until it expires.
-func (l *Lease) Try(ctx context.Context) (bool, error) {
+func (l *Lease) AcquireOrRenew(ctx context.Context) (bool, error) {
 	start := l.now()
 	current, err := l.table.Get(ctx, l.key())
 	if err != nil {
@@ -128,11 +128,11 @@
 		_ = l.machine.Fire("lost")
 		l.events.Record(event.LeaseLost, event.Fields{Service: l.name, Detail: "held by " + r.Holder.String()})
 	}
-	return l.now().Sub(l.seenAt) > TTL+Margin
+	return l.now().Sub(l.seenAt) > TTL+TakeoverMargin
 }
 
 func (l *Lease) write(ctx context.Context, start time.Time, current platform.Row, old row) (bool, error) {
-	next := row{Holder: l.self, Nonce: ident.Mint(l.self), Fence: old.Fence}
+	next := row{Holder: l.self, Nonce: ident.NewRequestID(l.self), Fence: old.Fence}
 	if old.Holder != l.self || !l.isHeld() {
 		next.Fence++ // orders of an earlier hold that are still in flight have an older number
 	}
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -123,7 +123,7 @@
 func (g *Gossip) contactSeeds(ctx context.Context) {
 	tick := time.NewTicker(contactPeriod)
 	defer tick.Stop()
-	for time.Since(g.started) < joinPeriod && g.table.Live() == 1 {
+	for time.Since(g.started) < joinPeriod && g.table.LiveCount() == 1 {
 		g.pingSeeds()
 		select {
 		case <-tick.C:
@@ -163,9 +163,9 @@
 // Settled reports whether this host has run long enough to know the fleet.
 func (g *Gossip) Settled() bool { return time.Since(g.started) > SettleTime }
 
-// Told returns the largest fleet size that a settled host has reported, or 0 if none
+// ReportedFleetSize returns the largest fleet size that a settled host has reported, or 0 if none
 // has.
-func (g *Gossip) Told() int {
+func (g *Gossip) ReportedFleetSize() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.reportedSize
@@ -178,7 +178,7 @@
 	if g.ping(ctx, m.ControlAddress, &wire.Gossip{Kind: wire.GossipKind_GOSSIP_PING}, g.timing.ProbeTimeout) {
 		return
 	}
-	if Refuses(m.ControlAddress, g.timing.ProbeTimeout) {
+	if RefusesConnections(m.ControlAddress, g.timing.ProbeTimeout) {
 		g.table.ProveDead(m.Incarnation, "its port refuses connections")
 		return
 	}
@@ -200,9 +200,9 @@
 	g.table.missLeaving(m.Incarnation)
 }
 
-// Refuses reports whether an address refuses TCP connections. A timeout does not
+// RefusesConnections reports whether an address refuses TCP connections. A timeout does not
 // count as a refusal.
-func Refuses(address string, timeout time.Duration) bool {
+func RefusesConnections(address string, timeout time.Duration) bool {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err == nil {
 		_ = conn.Close()
@@ -251,7 +251,7 @@
 		m.Members = g.table.updates(sampleSize)
 	}
 	if g.Settled() {
-		m.Size = uint32(g.table.Live())
+		m.Size = uint32(g.table.LiveCount())
 	}
 	m.Lamport = g.events.Clock()
 	b, err := proto.Marshal(m)
@@ -285,7 +285,7 @@
 	g.events.Witness(m.Lamport)
 	g.table.RecordContact(m.From)
 	for _, reported := range m.Members {
-		g.table.Learn(reported)
+		g.table.ApplyReport(reported)
 	}
 	g.noteFleetSize(int(m.Size))
 	switch m.Kind {
--- a/internal/member/join_test.go
+++ b/internal/member/join_test.go
@@ -52,9 +52,9 @@
 		runGossip(seed)
 		joiner, _ := newTestGossip(1000, 0, address)
 		runGossip(joiner)
-		Eventually(joiner.Told).WithTimeout(300 * time.Millisecond).WithPolling(5 * time.Millisecond).Should(BeNumerically(">=", fleet))
+		Eventually(joiner.ReportedFleetSize).WithTimeout(300 * time.Millisecond).WithPolling(5 * time.Millisecond).Should(BeNumerically(">=", fleet))
 		Expect(joiner.table.First("any", 1)).To(ConsistOf(HaveField("Incarnation", ident.Incarnation(fleet))))
-		Eventually(joiner.table.Live).WithTimeout(3 * time.Second).Should(BeNumerically(">", fleet/2))
+		Eventually(joiner.table.LiveCount).WithTimeout(3 * time.Second).Should(BeNumerically(">", fleet/2))
 	})
 
 	// Regression: the hosts of a fleet start one after the other. A host whose first ping
@@ -66,7 +66,7 @@
 		runGossip(joiner)
 		time.Sleep(70 * time.Millisecond)
 		runGossip(seed)
-		Eventually(joiner.table.Live).WithTimeout(200 * time.Millisecond).WithPolling(5 * time.Millisecond).Should(Equal(2))
+		Eventually(joiner.table.LiveCount).WithTimeout(200 * time.Millisecond).WithPolling(5 * time.Millisecond).Should(Equal(2))
 	})
 
 	It("ignores the fleet size of a host that has just started", func() {
@@ -74,8 +74,8 @@
 		runGossip(seed)
 		joiner, _ := newTestGossip(1000, 0, address)
 		runGossip(joiner)
-		Eventually(joiner.table.Live).Should(Equal(2))
-		Expect(joiner.Told()).To(BeZero())
+		Eventually(joiner.table.LiveCount).Should(Equal(2))
+		Expect(joiner.ReportedFleetSize()).To(BeZero())
 	})
 })
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -41,18 +41,18 @@
 	// a higher beat. An old report of its death must not mark it as dead again.
 	It("lets a member refute its death and ignores older reports", func() {
 		t := newTable()
-		t.Learn(newMember(2, 1, wire.MemberState_MEMBER_ALIVE))
-		t.Learn(newMember(2, 1, wire.MemberState_MEMBER_DEAD))
+		t.ApplyReport(newMember(2, 1, wire.MemberState_MEMBER_ALIVE))
+		t.ApplyReport(newMember(2, 1, wire.MemberState_MEMBER_DEAD))
 		Expect(stateOf(t, 2)).To(Equal("dead"))
-		t.Learn(newMember(2, 2, wire.MemberState_MEMBER_ALIVE))
+		t.ApplyReport(newMember(2, 2, wire.MemberState_MEMBER_ALIVE))
 		Expect(stateOf(t, 2)).To(Equal("alive"))
-		t.Learn(newMember(2, 1, wire.MemberState_MEMBER_DEAD))
+		t.ApplyReport(newMember(2, 1, wire.MemberState_MEMBER_DEAD))
 		Expect(stateOf(t, 2)).To(Equal("alive"))
 	})
 
 	It("refutes a wrong report about itself with a higher beat", func() {
 		t := newTable()
-		t.Learn(newMember(1, 5, wire.MemberState_MEMBER_SUSPECT))
+		t.ApplyReport(newMember(1, 5, wire.MemberState_MEMBER_SUSPECT))
 		Expect(t.selfToWire().Beat).To(Equal(uint32(6)))
 	})
 
@@ -83,7 +83,7 @@
 		It("keeps the one that it heard from directly, whatever others report later", func() {
 			t := newTable()
 			t.RecordContact(atSharedAddress(3, 2000))
-			t.Learn(atSharedAddress(2, 1000))
+			t.ApplyReport(atSharedAddress(2, 1000))
 			Expect(stateOf(t, 3)).To(Equal("alive"))
 			Expect(stateOf(t, 2)).To(Equal("unknown"))
 		})
@@ -92,7 +92,7 @@
 			func(reports ...*wire.Member) {
 				t := newTable()
 				for _, w := range reports {
-					t.Learn(w)
+					t.ApplyReport(w)
 				}
 				Expect(stateOf(t, 3)).To(Equal("alive"))
 				Expect(stateOf(t, 2)).NotTo(Equal("alive"))
@@ -106,21 +106,21 @@
 		// The clock may have been set back between the two starts.
 		It("prefers a direct message over reports", func() {
 			t := newTable()
-			t.Learn(atSharedAddress(2, 5000))
-			t.Learn(atSharedAddress(3, 1000))
+			t.ApplyReport(atSharedAddress(2, 5000))
+			t.ApplyReport(atSharedAddress(3, 1000))
 			Expect(stateOf(t, 2)).To(Equal("alive"))
 			t.RecordContact(atSharedAddress(3, 1000))
 			Expect(stateOf(t, 3)).To(Equal("alive"))
 			old, _ := t.Get(2)
 			Expect(old.Proved).To(BeTrue())
-			t.Learn(atSharedAddress(2, 5000))
+			t.ApplyReport(atSharedAddress(2, 5000))
 			Expect(stateOf(t, 3)).To(Equal("alive"))
 		})
 
 		It("revives a member that reports had marked as dead", func() {
 			t := newTable()
-			t.Learn(atSharedAddress(2, 1000))
-			t.Learn(atSharedAddress(3, 2000))
+			t.ApplyReport(atSharedAddress(2, 1000))
+			t.ApplyReport(atSharedAddress(3, 2000))
 			t.RecordContact(atSharedAddress(2, 1000)) // the start times were wrong
 			Expect(stateOf(t, 2)).To(Equal("alive"))
 			Expect(stateOf(t, 3)).To(Equal("dead"))
@@ -135,7 +135,7 @@
 		other.self.Incarnation = 9
 		other.RecordContact(newMember(2, 1, wire.MemberState_MEMBER_ALIVE))
 		for _, w := range t.updates(sampleSize) {
-			other.Learn(w)
+			other.ApplyReport(w)
 		}
 		m, _ := other.Get(2)
 		Expect(m.Proved).To(BeTrue())
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -200,7 +200,7 @@
 	r.transmitsLeft = t.maxTransmits()
 	t.changed.Notify()
 	inc := ident.Incarnation(r.wire.Incarnation)
-	t.events.Record(event.MemberProvedBy, event.Fields{Peer: r.wire.Host, Detail: inc.String() + ": " + reason})
+	t.events.Record(event.MemberProvedDead, event.Fields{Peer: r.wire.Host, Detail: inc.String() + ": " + reason})
 }
 
 // fire takes the chart transition of a record and logs a change of state. The caller
@@ -246,8 +246,8 @@
 	}
 }
 
-// Learn applies another host's report about a member.
-func (t *Table) Learn(w *wire.Member) {
+// ApplyReport applies another host's report about a member.
+func (t *Table) ApplyReport(w *wire.Member) {
 	if w == nil || w.Incarnation == 0 {
 		return
 	}
@@ -397,7 +397,7 @@
 		case r.machine.State() == Dead && now.Sub(r.stateSince) > t.horizon:
 			delete(t.members, inc)
 			t.invalidate()
-			t.events.Record(event.MemberForgot, event.Fields{Peer: r.wire.Host, Detail: inc.String()})
+			t.events.Record(event.MemberForgotten, event.Fields{Peer: r.wire.Host, Detail: inc.String()})
 		}
 	}
 }
@@ -411,8 +411,8 @@
 	}
 }
 
-// Live returns the number of members that are not dead, this host included.
-func (t *Table) Live() int {
+// LiveCount returns the number of members that are not dead, this host included.
+func (t *Table) LiveCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 1
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -163,10 +163,10 @@
 	testStandbys = 10
 )
 
-// Order, Open and Hosts implement store.Readers.
+// ReaderOrder, Open and Hosts implement store.Readers.
 
-func (h *fleetHost) Order() store.Order {
-	o := store.Order{Readers: min(testReaders, len(h.fleet.hosts)), Self: -1}
+func (h *fleetHost) ReaderOrder() store.ReaderOrder {
+	o := store.ReaderOrder{Readers: min(testReaders, len(h.fleet.hosts)), Self: -1}
 	for i := range min(testReaders+testStandbys, len(h.fleet.hosts)) {
 		if i == h.index {
 			o.Self = i
@@ -193,11 +193,11 @@
 	h.fleet.tasks.Go(func() {
 		role := func() store.Role {
 			to.waitWhileFrozen()
-			return to.Order().Role()
+			return to.ReaderOrder().Role()
 		}
-		to.relays.Serve(h.fleet.ctx, &peer.Stream{Conn: b, R: bufio.NewReader(b)}, role)
+		to.relays.Serve(h.fleet.ctx, &peer.Stream{Conn: b, Reader: bufio.NewReader(b)}, role)
 	})
-	return &peer.Stream{Conn: a, R: bufio.NewReader(a)}, nil
+	return &peer.Stream{Conn: a, Reader: bufio.NewReader(a)}, nil
 }
 
 // The tables that a testFleet follows.
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -55,7 +55,7 @@
 func (n *Node) join(ctx context.Context) {
 	n.awaitFleet(ctx)
 	close(n.joined)
-	if n.gossip.Told() == 0 && n.role() == store.Reader {
+	if n.gossip.ReportedFleetSize() == 0 && n.role() == store.Reader {
 		// This host has no contacts, or may be the home of a fleet that starts anew, which
 		// grants requests only once it knows that all hosts are there.
 		n.readHostTable(ctx)
@@ -72,8 +72,8 @@
 func (n *Node) awaitFleet(ctx context.Context) {
 	start := time.Now()
 	var firstContact time.Time
-	for n.gossip.Told() == 0 && time.Since(start) < joinTimeout {
-		if firstContact.IsZero() && n.members.Live() > 1 {
+	for n.gossip.ReportedFleetSize() == 0 && time.Since(start) < joinTimeout {
+		if firstContact.IsZero() && n.members.LiveCount() > 1 {
 			firstContact = time.Now()
 		}
 		if !firstContact.IsZero() && time.Since(firstContact) > firstContactWait {
@@ -108,7 +108,7 @@
 
 func (t *hostTableSync) check(ctx context.Context, now time.Time) {
 	n := t.node
-	live := n.members.Live()
+	live := n.members.LiveCount()
 	alone := live == 1
 	home := n.isHome() && n.gossip.Settled()
 	t.loadQuarantine(ctx, now, home)
@@ -180,7 +180,7 @@
 // knownFleetSize is the largest fleet size reported by other hosts or the store, 0 before any
 // report.
 func (n *Node) knownFleetSize() int {
-	size := n.gossip.Told()
+	size := n.gossip.ReportedFleetSize()
 	if list := n.storedHosts.Load(); list != nil {
 		size = max(size, list.fleetSize)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -165,7 +165,7 @@
 	n.gossip = member.NewGossip(n.members, packets, fleetName, member.DefaultTiming(), n.seedAddresses, n.events)
 	n.peers = peer.NewManager(peer.Identity{Incarnation: n.incarnation, Host: n.settings.Host, Fleet: fleetName},
 		n.peerAddress(), n.serveStream, peerObserver{n.members}, n.events, &n.traffic)
-	n.peers.DialFrom(net.ParseIP(n.settings.IP))
+	n.peers.SetLocalIP(net.ParseIP(n.settings.IP))
 	n.loop = dispatch.NewLoop(n.settings.Policy, n.events, n.deliver)
 	n.quarantined = newQuarantineStore(n.settings.Host, n.platform.QuarantineTable, n.platform.Tables, n.platform.Writer, n.isHome, n.events)
 	n.loop.OnSuspects(n.publishSuspects)
@@ -202,9 +202,9 @@
 // ProveDead implements peer.Observer.
 func (p peerObserver) ProveDead(inc ident.Incarnation, how string) { p.members.ProveDead(inc, how) }
 
-// Broke implements peer.Observer. A broken session alone does not prove that the host is dead;
-// membership probes decide.
-func (p peerObserver) Broke(ident.Incarnation) {}
+// SessionEnded implements peer.Observer. A broken session alone does not prove that the host is
+// dead; membership probes decide.
+func (p peerObserver) SessionEnded(ident.Incarnation) {}
 
 // deliver passes the decisions of one scheduling round to this host's own client and to the
 // other holders, the hosts that received the requests.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -95,10 +95,10 @@
 // all, and passes updates on through this host's relay.
 func newWatcher(direct store.Tables, readers store.Readers, relays *store.Relays, table string, events *event.Recorder, apply func(store.Update)) *store.Watcher {
 	relay := relays.Table(table)
-	tables := store.NewRelayed(direct, readers, relay.Failed)
+	tables := store.NewRelayedTables(direct, readers, relay.StoreFailed)
 	return &store.Watcher{
-		Tables: tables, Table: table, Events: events, Failed: relay.Failed,
-		Reread: func() time.Duration {
+		Tables: tables, Table: table, Events: events, OnFailure: relay.StoreFailed,
+		RereadInterval: func() time.Duration {
 			if tables.Reader() == "" {
 				return store.RereadStore
 			}
@@ -114,10 +114,10 @@
 // tableReaders implements store.Readers with the hosts that read the store for all.
 type tableReaders struct{ n *Node }
 
-// Order implements store.Readers.
-func (t tableReaders) Order() store.Order {
+// ReaderOrder implements store.Readers.
+func (t tableReaders) ReaderOrder() store.ReaderOrder {
 	list, readers := dispatch.StoreOrder(t.n.members)
-	o := store.Order{Readers: readers, Self: -1}
+	o := store.ReaderOrder{Readers: readers, Self: -1}
 	for i, m := range list {
 		if m.Incarnation == t.n.incarnation {
 			o.Self = i
@@ -145,10 +145,10 @@
 }
 
 // Hosts implements store.Readers.
-func (t tableReaders) Hosts() int { return max(t.n.members.Live(), t.n.knownFleetSize()) }
+func (t tableReaders) Hosts() int { return max(t.n.members.LiveCount(), t.n.knownFleetSize()) }
 
 // role is this host's role in reading the tables for others.
-func (n *Node) role() store.Role { return tableReaders{n}.Order().Role() }
+func (n *Node) role() store.Role { return tableReaders{n}.ReaderOrder().Role() }
 
 // releaseReaders makes hosts that wait for updates from this one choose their reader again
 // whenever another host becomes the home.
@@ -158,7 +158,7 @@
 	for {
 		now, _ := dispatch.HomeOf(n.members)
 		if now.Incarnation != home.Incarnation {
-			n.relays.Release()
+			n.relays.EndWaits()
 		}
 		home = now
 		select {
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -5,7 +5,8 @@
 // Servers that check the number refuse the order of an earlier holder. Servers that ignore it
 // accept an order that was delayed in flight; orders therefore state the desired end state, and
 // the holder reads it back every round and repairs differences. Between such a delayed order
-// and the next round the server is in the older state, for at most Period plus one call.
+// and the next round the server is in the older state, for at most ReconcilePeriod plus one
+// call.
 package order
 
 import (
@@ -18,11 +19,11 @@
 	"github.com/gentianflow/gentianflow/internal/lease"
 )
 
-// Period is the time between two rounds.
-const Period = 1 * time.Second
+// ReconcilePeriod is the time between two rounds.
+const ReconcilePeriod = 1 * time.Second
 
-// Orderer reads and sets the state of one backend server.
-type Orderer interface {
+// ServerClient reads and sets the state of one backend server.
+type ServerClient interface {
 	// State reads the current state of the server.
 	State(ctx context.Context) (string, error)
 	// Order sets a state. It fails with StaleFence if the server has seen a higher fencing
@@ -30,47 +31,47 @@
 	Order(ctx context.Context, fence uint64, state string) error
 }
 
-// Wish is the desired state of a server according to the inventory.
-type Wish struct {
-	Server  string
-	State   string
-	Orderer Orderer
+// DesiredState is the desired state of a server according to the inventory.
+type DesiredState struct {
+	Server       string
+	State        string
+	ServerClient ServerClient
 }
 
-// Giver sends the orders of one service. It is used by one goroutine.
-type Giver struct {
+// Reconciler sends the orders of one service. It is used by one goroutine.
+type Reconciler struct {
 	service     string
 	lease       *lease.Lease
 	events      *event.Recorder
 	lastOrdered map[ident.ServerID]string // state last ordered, by server
 }
 
-// NewGiver returns a giver that sends orders under a lease.
-func NewGiver(service string, l *lease.Lease, events *event.Recorder) *Giver {
-	return &Giver{service: service, lease: l, events: events, lastOrdered: map[ident.ServerID]string{}}
+// NewReconciler returns a reconciler that sends orders under a lease.
+func NewReconciler(service string, l *lease.Lease, events *event.Recorder) *Reconciler {
+	return &Reconciler{service: service, lease: l, events: events, lastOrdered: map[ident.ServerID]string{}}
 }
 
-// Round renews the lease and compares every server with its desired state. Without the lease it
+// Reconcile renews the lease and compares every server with its desired state. Without the lease it
 // does nothing.
-func (g *Giver) Round(ctx context.Context, wishes []Wish) {
+func (g *Reconciler) Reconcile(ctx context.Context, wishes []DesiredState) {
 	if len(wishes) == 0 {
 		return
 	}
-	held, err := g.lease.Try(ctx)
+	held, err := g.lease.AcquireOrRenew(ctx)
 	if err != nil && !held || !held {
 		return
 	}
 	for _, w := range wishes {
-		g.reconcile(ctx, w)
+		g.reconcileServer(ctx, w)
 	}
 }
 
-func (g *Giver) reconcile(ctx context.Context, w Wish) {
-	state, err := w.Orderer.State(ctx)
+func (g *Reconciler) reconcileServer(ctx context.Context, w DesiredState) {
+	state, err := w.ServerClient.State(ctx)
 	if err != nil || state == w.State {
 		return
 	}
-	id := ident.Server(w.Server)
+	id := ident.ServerIDOf(w.Server)
 	f := event.Fields{Service: g.service, Server: w.Server, Detail: w.State}
 	if g.lastOrdered[id] == w.State {
 		f.Detail = state + " instead of " + w.State
@@ -82,7 +83,7 @@
 	if !ok {
 		return
 	}
-	err = w.Orderer.Order(ctx, fence, w.State)
+	err = w.ServerClient.Order(ctx, fence, w.State)
 	switch {
 	case failure.Is(err, failure.StaleFence):
 		g.events.Record(event.OrderRefused, f)
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -83,27 +83,27 @@
 		now    time.Time
 		t      *table
 		events *event.Recorder
-		giver  func(incarnation ident.Incarnation) *order.Giver
+		giver  func(incarnation ident.Incarnation) *order.Reconciler
 		leases map[ident.Incarnation]*lease.Lease
 	)
 	BeforeEach(func() {
 		now, t = time.Unix(1000, 0), &table{}
 		events = event.NewRecorder("a", "1", 100, log.NewNopLogger())
 		leases = map[ident.Incarnation]*lease.Lease{}
-		giver = func(incarnation ident.Incarnation) *order.Giver {
+		giver = func(incarnation ident.Incarnation) *order.Reconciler {
 			leases[incarnation] = lease.New("svc", incarnation, t, events, func() time.Time { return now })
-			return order.NewGiver("svc", leases[incarnation], events)
+			return order.NewReconciler("svc", leases[incarnation], events)
 		}
 	})
-	wish := func(e *engine, state string) []order.Wish {
-		return []order.Wish{{Server: "engine-1", State: state, Orderer: e}}
+	wish := func(e *engine, state string) []order.DesiredState {
+		return []order.DesiredState{{Server: "engine-1", State: state, ServerClient: e}}
 	}
 	ctx := context.Background()
 	// takeOver runs rounds of a second host until it holds the lease.
-	takeOver := func(g *order.Giver, e *engine, state string) {
-		g.Round(ctx, wish(e, state))
-		now = now.Add(lease.TTL + lease.Margin + time.Millisecond)
-		g.Round(ctx, wish(e, state))
+	takeOver := func(g *order.Reconciler, e *engine, state string) {
+		g.Reconcile(ctx, wish(e, state))
+		now = now.Add(lease.TTL + lease.TakeoverMargin + time.Millisecond)
+		g.Reconcile(ctx, wish(e, state))
 	}
 
 	// The holder is paused between its last check of the lease and the sending of the order,
@@ -111,7 +111,7 @@
 	// order arrives afterwards.
 	It("refuses a delayed order of an old holder at an engine that checks the fencing number", func() {
 		e := &engine{checksFence: true, hold: true}
-		giver(1).Round(ctx, wish(e, "old-model"))
+		giver(1).Reconcile(ctx, wish(e, "old-model"))
 		takeOver(giver(2), e, "new-model")
 		Expect(e.state).To(Equal("new-model"))
 		Expect(failure.Is(e.late(), failure.StaleFence)).To(BeTrue())
@@ -120,13 +120,13 @@
 
 	It("repairs an engine that ignores the fencing number in the next round", func() {
 		e := &engine{hold: true}
-		giver(1).Round(ctx, wish(e, "old-model"))
+		giver(1).Reconcile(ctx, wish(e, "old-model"))
 		second := giver(2)
 		takeOver(second, e, "new-model")
 		Expect(e.late()).To(Succeed())
 		Expect(e.state).To(Equal("old-model"), "an engine that ignores the number accepts the delayed order")
-		now = now.Add(order.Period)
-		second.Round(ctx, wish(e, "new-model"))
+		now = now.Add(order.ReconcilePeriod)
+		second.Reconcile(ctx, wish(e, "new-model"))
 		Expect(e.state).To(Equal("new-model"))
 		Expect(events.Events(event.Filter{Server: "engine-1"})).To(ContainElement(HaveField("Code", event.OrderRepaired)))
 	})
@@ -136,18 +136,18 @@
 	It("sends no order after a pause in which the lease expired", func() {
 		e := &engine{}
 		first := giver(1)
-		first.Round(ctx, wish(e, "a"))
+		first.Reconcile(ctx, wish(e, "a"))
 		now = now.Add(lease.TTL)
 		_, held := leases[1].Held()
 		Expect(held).To(BeFalse())
 		t.down = true
-		first.Round(ctx, wish(e, "b"))
+		first.Reconcile(ctx, wish(e, "b"))
 		Expect(e.state).To(Equal("a"))
 	})
 
 	It("counts the lease time from before the call", func() {
 		l := lease.New("svc", 1, &slowTable{table: t, advance: func() { now = now.Add(3 * time.Second) }}, events, func() time.Time { return now })
-		_, err := l.Try(ctx)
+		_, err := l.AcquireOrRenew(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		_, held := l.Held()
 		Expect(held).To(BeFalse(), "the calls took longer than the lease lasts")
@@ -156,7 +156,7 @@
 	It("recognizes its own write after the answer was lost", func() {
 		t.loseAnswer = true
 		giver(1)
-		held, err := leases[1].Try(ctx)
+		held, err := leases[1].AcquireOrRenew(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(BeTrue())
 	})
@@ -164,16 +164,16 @@
 	It("gives a higher number to each new holder, and to the same holder after expiry", func() {
 		giver(1)
 		giver(2)
-		_, _ = leases[1].Try(ctx)
+		_, _ = leases[1].AcquireOrRenew(ctx)
 		first, _ := leases[1].Held()
-		_, _ = leases[2].Try(ctx)
-		now = now.Add(lease.TTL + lease.Margin + time.Millisecond)
-		held, _ := leases[2].Try(ctx)
+		_, _ = leases[2].AcquireOrRenew(ctx)
+		now = now.Add(lease.TTL + lease.TakeoverMargin + time.Millisecond)
+		held, _ := leases[2].AcquireOrRenew(ctx)
 		Expect(held).To(BeTrue())
 		second, _ := leases[2].Held()
 		Expect(second).To(BeNumerically(">", first))
 		now = now.Add(lease.TTL)
-		_, _ = leases[2].Try(ctx)
+		_, _ = leases[2].AcquireOrRenew(ctx)
 		third, _ := leases[2].Held()
 		Expect(third).To(BeNumerically(">", second))
 	})
--- a/internal/peer/manager.go
+++ b/internal/peer/manager.go
@@ -43,12 +43,12 @@
 	Fleet       string
 }
 
-// Stream is one stream of a session. R is the buffered reader of its Conn.
+// Stream is one stream of a session. Reader is the buffered reader of its Conn.
 type Stream struct {
 	net.Conn
-	R    *bufio.Reader
-	Peer Identity
-	Open *wire.Open
+	Reader *bufio.Reader
+	Peer   Identity
+	Open   *wire.Open
 }
 
 // Abort closes the stream and interrupts pending reads.
@@ -68,8 +68,8 @@
 type Observer interface {
 	// ProveDead is called for an incarnation that has provably ended.
 	ProveDead(inc ident.Incarnation, how string)
-	// Broke is called for an incarnation when a session with it has ended.
-	Broke(inc ident.Incarnation)
+	// SessionEnded is called for an incarnation when a session with it has ended.
+	SessionEnded(inc ident.Incarnation)
 }
 
 // Manager owns the sessions of one host. mu guards sessions, the live field of
@@ -105,9 +105,9 @@
 	}
 }
 
-// DialFrom sets the local IP address of the sessions that this host opens, so that
+// SetLocalIP sets the local IP address of the sessions that this host opens, so that
 // other hosts see the same address of a host that has several.
-func (m *Manager) DialFrom(ip net.IP) { m.dialFrom = &net.TCPAddr{IP: ip} }
+func (m *Manager) SetLocalIP(ip net.IP) { m.dialFrom = &net.TCPAddr{IP: ip} }
 
 // Serve accepts sessions until the listener closes.
 func (m *Manager) Serve(l net.Listener) {
@@ -160,7 +160,7 @@
 		conn, err := s.accept()
 		if err != nil {
 			s.close()
-			m.observer.Broke(s.peer.Incarnation)
+			m.observer.SessionEnded(s.peer.Incarnation)
 			return
 		}
 		m.wg.Go(func() { m.serveStream(conn, s.peer) })
@@ -168,9 +168,9 @@
 }
 
 func (m *Manager) serveStream(conn net.Conn, remote Identity) {
-	st := &Stream{Conn: conn, R: bufio.NewReader(conn), Peer: remote, Open: &wire.Open{}}
+	st := &Stream{Conn: conn, Reader: bufio.NewReader(conn), Peer: remote, Open: &wire.Open{}}
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
-	if err := wire.Read(st.R, st.Open); err != nil {
+	if err := wire.Read(st.Reader, st.Open); err != nil {
 		_ = conn.Close()
 		return
 	}
@@ -237,16 +237,16 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	return &Stream{Conn: conn, R: bufio.NewReader(conn), Peer: s.peer, Open: open}, nil
+	return &Stream{Conn: conn, Reader: bufio.NewReader(conn), Peer: s.peer, Open: open}, nil
 }
 
 // openLocal opens a stream to this host's own handler without a socket.
 func (m *Manager) openLocal(open *wire.Open) *Stream {
 	a, b := net.Pipe()
 	m.wg.Go(func() {
-		m.handler(&Stream{Conn: b, R: bufio.NewReader(b), Peer: m.self, Open: open})
+		m.handler(&Stream{Conn: b, Reader: bufio.NewReader(b), Peer: m.self, Open: open})
 	})
-	return &Stream{Conn: a, R: bufio.NewReader(a), Peer: m.self, Open: open}
+	return &Stream{Conn: a, Reader: bufio.NewReader(a), Peer: m.self, Open: open}
 }
 
 func (m *Manager) session(ctx context.Context, to Target) (*session, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,7 +39,7 @@
 type nopObserver struct{}
 
 func (nopObserver) ProveDead(ident.Incarnation, string) {}
-func (nopObserver) Broke(ident.Incarnation)             {}
+func (nopObserver) SessionEnded(ident.Incarnation)      {}
 
 // startHost runs a manager that echoes the bytes of each stream.
 func startHost(inc ident.Incarnation) (m *Manager, l net.Listener, traffic *Traffic) {
@@ -47,7 +47,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	traffic = &Traffic{}
 	echo := func(st *Stream) {
-		_, _ = io.Copy(st, st.R) // ends with the stream
+		_, _ = io.Copy(st, st.Reader) // ends with the stream
 		_ = st.Close()
 	}
 	events := event.NewRecorder("h", inc.String(), 64, log.NewNopLogger())
@@ -107,7 +107,7 @@
 		exchange := func() {
 			_, err := st.Write([]byte("x"))
 			Expect(err).NotTo(HaveOccurred())
-			_, err = io.ReadFull(st.R, make([]byte, 1))
+			_, err = io.ReadFull(st.Reader, make([]byte, 1))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		exchange()
@@ -145,7 +145,7 @@
 		for started := time.Now(); time.Since(started) < 2*acceptedIdleTimeout; time.Sleep(ProbePeriod / 5) {
 			_, err := far.Write([]byte("x"))
 			Expect(err).NotTo(HaveOccurred())
-			_, err = io.ReadFull(st.R, make([]byte, 1))
+			_, err = io.ReadFull(st.Reader, make([]byte, 1))
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
@@ -197,7 +197,7 @@
 		var waiting atomic.Int64
 		handler := func(st *Stream) {
 			waiting.Add(1)
-			_, _ = io.Copy(io.Discard, st.R) // ends with the session
+			_, _ = io.Copy(io.Discard, st.Reader) // ends with the session
 			waiting.Add(-1)
 		}
 		m := NewManager(Identity{Incarnation: 1, Host: "near", Fleet: "f"}, "none", handler, nopObserver{}, event.NewRecorder("h", "i", 64, log.NewNopLogger()), &Traffic{})
--- a/internal/prefix/seen.go
+++ b/internal/prefix/seen.go
@@ -6,26 +6,26 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Seen is an LRU set of prompt blocks that finds the longest prefix which a
+// BlockSet is an LRU set of prompt blocks that finds the longest prefix which a
 // prompt shares with earlier prompts on this host. It is safe for concurrent use.
-type Seen struct {
+type BlockSet struct {
 	blocks *lru.Cache[Key, struct{}]
 }
 
-// NewSeen returns a Seen for up to size blocks of about 50 bytes each.
-func NewSeen(size int) (*Seen, error) {
+// NewBlockSet returns a BlockSet for up to size blocks of about 50 bytes each.
+func NewBlockSet(size int) (*BlockSet, error) {
 	c, err := lru.New[Key, struct{}](size)
 	if err != nil {
 		return nil, failure.Wrap(failure.BadSetting, err, "prefix set for %d blocks", size)
 	}
-	return &Seen{blocks: c}, nil
+	return &BlockSet{blocks: c}, nil
 }
 
 // Observe adds a prompt and returns the key and the length in tokens of the
 // prefix that it shares with earlier prompts, or key 0 if it shares none. The
 // first prompt with a prefix therefore has no key: callers do not state their
 // prefixes, which costs one miss for each new prefix and host.
-func (s *Seen) Observe(prompt string) (Key, int) {
+func (s *BlockSet) Observe(prompt string) (Key, int) {
 	chain := Chain(prompt)
 	shared := 0
 	for i, k := range chain {
@@ -43,10 +43,10 @@
 	return chain[shared-1], shared * BlockTokens
 }
 
-// Whole returns the key at the end of a prompt's last full block, or 0 if it has
+// FullKey returns the key at the end of a prompt's last full block, or 0 if it has
 // none. The server has these blocks cached after it computed the prompt; a
 // follow-up that extends the prompt shares exactly them.
-func Whole(prompt string) Key {
+func FullKey(prompt string) Key {
 	chain := Chain(prompt)
 	if len(chain) == 0 {
 		return 0
@@ -54,9 +54,9 @@
 	return chain[len(chain)-1]
 }
 
-// At returns the key and the length in tokens, rounded down to full blocks, of a
+// KeyAt returns the key and the length in tokens, rounded down to full blocks, of a
 // prefix whose length the caller states.
-func At(prompt string, tokens int) (Key, int) {
+func KeyAt(prompt string, tokens int) (Key, int) {
 	chain := Chain(prompt)
 	blocks := min(tokens/BlockTokens, len(chain))
 	if blocks == 0 {
--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -7,9 +7,9 @@
 	"github.com/gentianflow/gentianflow/internal/peer"
 )
 
-// Order lists the hosts that read the store for all others: a few readers, the home first,
+// ReaderOrder lists the hosts that read the store for all others: a few readers, the home first,
 // followed by standbys, which read it while no reader has a fresh answer.
-type Order struct {
+type ReaderOrder struct {
 	Names   []string // readers, then standbys
 	Readers int      // number of readers in Names
 	Self    int      // index of this host in Names, -1 if not listed
@@ -19,7 +19,7 @@
 // those that it asks when the store doesn't answer. Readers ask only the home first and then
 // all read the store in parallel: the store may refuse several of them together, and each takes
 // seconds to detect that.
-func (o Order) peers() (before, after []string) {
+func (o ReaderOrder) peers() (before, after []string) {
 	switch {
 	case o.Self < 0:
 		return o.Names, nil
@@ -41,7 +41,7 @@
 )
 
 // Role returns the role of this host.
-func (o Order) Role() Role {
+func (o ReaderOrder) Role() Role {
 	switch {
 	case o.Self < 0:
 		return Follower
@@ -53,7 +53,7 @@
 
 // Readers are the hosts that read the store for all others.
 type Readers interface {
-	Order() Order
+	ReaderOrder() ReaderOrder
 	// Open opens a stream to a reader.
 	Open(ctx context.Context, name string) (*peer.Stream, error)
 	// Hosts returns the number of hosts known to this one.
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -116,8 +116,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Failed records that the store did not answer, and ends all waiting calls with an error.
-func (r *Relay) Failed() {
+// StoreFailed records that the store did not answer, and ends all waiting calls with an error.
+func (r *Relay) StoreFailed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.lastAnswer.IsZero() || !r.failed {
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -77,7 +77,7 @@
 			left <- err
 		}()
 		Consistently(left, "20ms").ShouldNot(Receive())
-		r.Failed()
+		r.StoreFailed()
 		Eventually(left).Should(Receive(Satisfy(func(err error) bool { return failure.Is(err, failure.StoreDown) })))
 		_, _, err := r.Snapshot(ctx)
 		Expect(err).To(HaveOccurred())
@@ -114,8 +114,8 @@
 	bytesRead  int
 }
 
-func (h *fakeHome) Order() store.Order {
-	o := store.Order{Self: -1}
+func (h *fakeHome) ReaderOrder() store.ReaderOrder {
+	o := store.ReaderOrder{Self: -1}
 	for r := h; r != nil; r = r.nextReader {
 		if r.name == "" {
 			o.Self = len(o.Names)
@@ -141,8 +141,8 @@
 	}
 	h.opened++
 	a, b := net.Pipe()
-	go h.relays.Serve(context.Background(), &peer.Stream{Conn: b, R: bufio.NewReader(b)}, h.role)
-	return &peer.Stream{Conn: a, R: bufio.NewReader(io.TeeReader(a, byteCounter{&h.bytesRead}))}, nil
+	go h.relays.Serve(context.Background(), &peer.Stream{Conn: b, Reader: bufio.NewReader(b)}, h.role)
+	return &peer.Stream{Conn: a, Reader: bufio.NewReader(io.TeeReader(a, byteCounter{&h.bytesRead}))}, nil
 }
 
 func always() bool { return true }
@@ -152,7 +152,7 @@
 	It("asks the relay and not the store", func() {
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
-		r := store.NewRelayed(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
+		r := store.NewRelayedTables(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
 		rows, version, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(BeNumerically("==", 5))
@@ -165,7 +165,7 @@
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
 		home := false
-		r := store.NewRelayed(fixedStore{9}, &fakeHome{relays: relays, isHome: func() bool { return home }, name: "h"}, nil)
+		r := store.NewRelayedTables(fixedStore{9}, &fakeHome{relays: relays, isHome: func() bool { return home }, name: "h"}, nil)
 		_, version, err := r.Changes(ctx, "t", 3, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).To(BeNumerically("==", 9))
@@ -182,7 +182,7 @@
 		relays := store.NewRelays()
 		relays.Table("t").Apply(store.Update{Whole: true, Version: 5, Rows: []store.Row{{Key: "config", Value: value, Version: 5}}})
 		home := &fakeHome{relays: relays, isHome: always, name: "h"}
-		r := store.NewRelayed(fixedStore{1}, home, nil)
+		r := store.NewRelayedTables(fixedStore{1}, home, nil)
 		rows, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows[0].Value).To(Equal(value))
@@ -203,20 +203,20 @@
 		relays.Table("t").Apply(store.Update{Whole: true, Version: 2})
 		relays.Table("t").Apply(store.Update{Version: 3000, Rows: rows})
 		home := &fakeHome{relays: relays, isHome: always, name: "h"}
-		got, _, err := store.NewRelayed(fixedStore{1}, home, nil).Snapshot(ctx, "t")
+		got, _, err := store.NewRelayedTables(fixedStore{1}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		slices.SortFunc(got, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 		Expect(slices.EqualFunc(got, rows, func(a, b store.Row) bool { return a.Key == b.Key && bytes.Equal(a.Value, b.Value) })).To(BeTrue())
 		Expect(home.bytesRead).To(BeNumerically("<", size/5))
-		changed, _, err := store.NewRelayed(fixedStore{1}, home, nil).Changes(ctx, "t", 100, time.Second)
+		changed, _, err := store.NewRelayedTables(fixedStore{1}, home, nil).Changes(ctx, "t", 100, time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changed).To(HaveLen(2900), "the history holds the changes at the start of a fleet")
 	})
 
 	It("reads the store when this host is the home, or the home has no fresh answer", func() {
-		self := store.NewRelayed(fixedStore{1}, &fakeHome{}, nil)
-		stale := store.NewRelayed(fixedStore{1}, &fakeHome{relays: store.NewRelays(), isHome: always, name: "h"}, nil)
-		for _, r := range []*store.Relayed{self, stale} {
+		self := store.NewRelayedTables(fixedStore{1}, &fakeHome{}, nil)
+		stale := store.NewRelayedTables(fixedStore{1}, &fakeHome{relays: store.NewRelays(), isHome: always, name: "h"}, nil)
+		for _, r := range []*store.RelayedTables{self, stale} {
 			rows, _, err := r.Changes(ctx, "t", 0, time.Millisecond)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(rows).To(ConsistOf(HaveField("Key", "direct")))
@@ -229,7 +229,7 @@
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
 		home := &fakeHome{relays: relays, isHome: always, name: "old"}
-		r := store.NewRelayed(fixedStore{6}, home, nil)
+		r := store.NewRelayedTables(fixedStore{6}, home, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		home.name = ""
@@ -249,9 +249,9 @@
 	It("does not wait at a host that is no longer the home", func() {
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
-		r := store.NewRelayed(fixedStore{6}, &fakeHome{relays: relays, isHome: always, name: "old"}, nil)
+		r := store.NewRelayedTables(fixedStore{6}, &fakeHome{relays: relays, isHome: always, name: "old"}, nil)
 		begun := time.Now()
-		time.AfterFunc(100*time.Millisecond, relays.Release)
+		time.AfterFunc(100*time.Millisecond, relays.EndWaits)
 		_, _, err := r.Changes(ctx, "t", 5, time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
@@ -264,7 +264,7 @@
 		relays.Table("t").Apply(wholeTable(7, "next"))
 		home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
 		home.nextReader = &fakeHome{relays: relays, isHome: always, name: "next"}
-		rows, _, err := store.NewRelayed(fixedStore{9}, home, nil).Snapshot(ctx, "t")
+		rows, _, err := store.NewRelayedTables(fixedStore{9}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(ConsistOf(HaveField("Key", "next")))
 	})
@@ -275,13 +275,13 @@
 	It("does not wait at a reader that has lost the home and not reached the store", func() {
 		lost, fresh := store.NewRelays(), store.NewRelays()
 		lost.Table("t").Apply(wholeTable(5, "old"))
-		lost.Table("t").Failed()
+		lost.Table("t").StoreFailed()
 		fresh.Table("t").Apply(wholeTable(7, "new"))
 		home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
 		home.nextReader = &fakeHome{relays: lost, isHome: always, name: "lost"}
 		home.nextReader.nextReader = &fakeHome{relays: fresh, isHome: always, name: "fresh"}
 		begun := time.Now()
-		rows, _, err := store.NewRelayed(fixedStore{9}, home, nil).Snapshot(ctx, "t")
+		rows, _, err := store.NewRelayedTables(fixedStore{9}, home, nil).Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows).To(ConsistOf(HaveField("Key", "new")))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
@@ -292,10 +292,10 @@
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
 		lostCalls := 0
 		home := &fakeHome{relays: relays, isHome: always, name: "h", hosts: 195}
-		r := store.NewRelayed(fixedStore{6}, home, func() { lostCalls++ })
+		r := store.NewRelayedTables(fixedStore{6}, home, func() { lostCalls++ })
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
-		relays.Table("t").Failed()
+		relays.Table("t").StoreFailed()
 		_, _, _ = r.Changes(ctx, "t", 5, time.Millisecond)
 		_, _, _ = r.Changes(ctx, "t", 5, time.Millisecond)
 		Expect(lostCalls).To(Equal(1))
@@ -309,15 +309,15 @@
 		done := make(chan time.Duration, watched)
 		for range watched {
 			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
-			home.relays.Table("t").Failed()
+			home.relays.Table("t").StoreFailed()
 			begun := time.Now()
 			run, stop := context.WithCancel(ctx)
 			DeferCleanup(stop)
 			w := &store.Watcher{
-				Tables: store.NewRelayed(fixedStore{9}, home, nil), Table: "t",
-				Events: event.NewRecorder("h", "i", 16, log.NewNopLogger()),
-				Reread: func() time.Duration { return time.Minute },
-				Apply:  func(store.Update) { stop(); done <- time.Since(begun) },
+				Tables: store.NewRelayedTables(fixedStore{9}, home, nil), Table: "t",
+				Events:         event.NewRecorder("h", "i", 16, log.NewNopLogger()),
+				RereadInterval: func() time.Duration { return time.Minute },
+				Apply:          func(store.Update) { stop(); done <- time.Since(begun) },
 			}
 			go w.Run(run)
 		}
@@ -333,14 +333,14 @@
 		done := make(chan time.Duration, watched)
 		for range watched {
 			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: 195}
-			home.relays.Table("t").Failed()
+			home.relays.Table("t").StoreFailed()
 			run, stop := context.WithCancel(ctx)
 			DeferCleanup(stop)
 			var reads []time.Time
 			w := &store.Watcher{
-				Tables: store.NewRelayed(fixedStore{9}, home, nil), Table: "t",
-				Events: event.NewRecorder("h", "i", 16, log.NewNopLogger()),
-				Reread: func() time.Duration { return time.Minute },
+				Tables: store.NewRelayedTables(fixedStore{9}, home, nil), Table: "t",
+				Events:         event.NewRecorder("h", "i", 16, log.NewNopLogger()),
+				RereadInterval: func() time.Duration { return time.Minute },
 				Apply: func(store.Update) {
 					if reads = append(reads, time.Now()); len(reads) == 3 {
 						stop()
@@ -363,7 +363,7 @@
 		calls := 0
 		for range each {
 			home := &fakeHome{relays: store.NewRelays(), isHome: always, name: "home", hosts: hosts}
-			r := store.NewRelayed(fixedStore{9}, home, nil)
+			r := store.NewRelayedTables(fixedStore{9}, home, nil)
 			for range 3 {
 				if _, _, err := r.Changes(ctx, "t", 5, time.Millisecond); err == nil {
 					calls++
@@ -380,7 +380,7 @@
 	It("returns the length of the store's outage as its reader observed it", func() {
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
-		r := store.NewRelayed(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
+		r := store.NewRelayedTables(fixedStore{1}, &fakeHome{relays: relays, isHome: always, name: "h"}, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Gap()).To(BeZero())
@@ -397,7 +397,7 @@
 	// A host that reads the store only now and then counted the time between two answers as an
 	// outage, and went on using servers whose entries were gone.
 	It("does not count the time between its own calls as an outage", func() {
-		r := store.NewRelayed(fixedStore{1}, &fakeHome{}, nil)
+		r := store.NewRelayedTables(fixedStore{1}, &fakeHome{}, nil)
 		for range 2 {
 			_, _, err := r.Snapshot(ctx, "t")
 			Expect(err).NotTo(HaveOccurred())
@@ -412,7 +412,7 @@
 	It("does not count the partition of a reader as an outage of a store that answered meanwhile", func() {
 		relays := store.NewRelays()
 		home := &fakeHome{relays: relays, isHome: always, name: "h"}
-		r := store.NewRelayed(fixedStore{6}, home, nil)
+		r := store.NewRelayedTables(fixedStore{6}, home, nil)
 		_, _, err := r.Snapshot(ctx, "t") // the reader has no fresh answer
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Reader()).To(BeEmpty())
@@ -431,10 +431,10 @@
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
 		home := &fakeHome{relays: relays, isHome: always, name: "h"}
-		r := store.NewRelayed(fixedStore{6}, home, nil)
+		r := store.NewRelayedTables(fixedStore{6}, home, nil)
 		_, _, err := r.Snapshot(ctx, "t")
 		Expect(err).NotTo(HaveOccurred())
-		time.AfterFunc(1800*time.Millisecond, relays.Table("t").Failed)
+		time.AfterFunc(1800*time.Millisecond, relays.Table("t").StoreFailed)
 		_, _, err = r.Changes(ctx, "t", 5, time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Gap()).To(BeNumerically("~", 1500*time.Millisecond, 200*time.Millisecond))
--- a/internal/store/relayed.go
+++ b/internal/store/relayed.go
@@ -47,7 +47,7 @@
 	turnCheckPeriod = 300 * time.Millisecond
 )
 
-// Relayed reads a table through the hosts that read the store for all others, and from the
+// RelayedTables reads a table through the hosts that read the store for all others, and from the
 // store itself when none of them has a fresh answer. It belongs to one Watcher and is used only
 // by the Watcher's goroutine.
 //
@@ -55,7 +55,7 @@
 // billed. Therefore the other readers read it next, then the standbys, and the followers take
 // turns only when none of these has a fresh answer. A follower that takes turns has data that
 // is seconds old, and so would a home that the store refuses: it asks the other hosts as well.
-type Relayed struct {
+type RelayedTables struct {
 	direct             Tables
 	readers            Readers
 	onLost             func()
@@ -77,37 +77,37 @@
 	following bool
 }
 
-// NewRelayed returns the reader of one table. onLost is called when the relay that was followed
+// NewRelayedTables returns the reader of one table. onLost is called when the relay that was followed
 // has no fresh answer any more; it may be nil.
-func NewRelayed(direct Tables, readers Readers, onLost func()) *Relayed {
+func NewRelayedTables(direct Tables, readers Readers, onLost func()) *RelayedTables {
 	if onLost == nil {
 		onLost = func() {}
 	}
-	return &Relayed{direct: direct, readers: readers, onLost: onLost, pauses: map[string]pause{}, lastAnswer: time.Now()}
+	return &RelayedTables{direct: direct, readers: readers, onLost: onLost, pauses: map[string]pause{}, lastAnswer: time.Now()}
 }
 
-// Gap implements Origin.
-func (r *Relayed) Gap() time.Duration { return r.gap }
+// Gap implements AnswerSource.
+func (r *RelayedTables) Gap() time.Duration { return r.gap }
 
-// Reader implements Origin.
-func (r *Relayed) Reader() string { return r.answeredBy }
+// Reader implements AnswerSource.
+func (r *RelayedTables) Reader() string { return r.answeredBy }
 
 // Snapshot implements Tables.
-func (r *Relayed) Snapshot(ctx context.Context, table string) ([]Row, int64, error) {
+func (r *RelayedTables) Snapshot(ctx context.Context, table string) ([]Row, int64, error) {
 	call := &wire.TableCall{Table: table, Snapshot: true}
 	return r.read(ctx, call, relayMargin, func() ([]Row, int64, error) { return r.direct.Snapshot(ctx, table) })
 }
 
 // Changes implements Tables.
-func (r *Relayed) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]Row, int64, error) {
+func (r *RelayedTables) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]Row, int64, error) {
 	call := &wire.TableCall{Table: table, After: after, WaitMs: uint32(relayWait.Milliseconds())}
 	return r.read(ctx, call, relayWait+relayMargin, func() ([]Row, int64, error) { return r.direct.Changes(ctx, table, after, wait) })
 }
 
 // read sends a call to the hosts that this host asks before the store, to the store, and to the
 // other hosts, until one has a fresh answer.
-func (r *Relayed) read(ctx context.Context, call *wire.TableCall, timeout time.Duration, direct func() ([]Row, int64, error)) ([]Row, int64, error) {
-	order := r.readers.Order()
+func (r *RelayedTables) read(ctx context.Context, call *wire.TableCall, timeout time.Duration, direct func() ([]Row, int64, error)) ([]Row, int64, error) {
+	order := r.readers.ReaderOrder()
 	before, after := order.peers()
 	r.dropUnlisted(order.Names)
 	rows, version, err := r.askReaders(ctx, before, call, timeout)
@@ -130,7 +130,7 @@
 func isAnswer(err error) bool { return err == nil || failure.Is(err, failure.HistoryLost) }
 
 // readStore reads the store itself if this host may do so now.
-func (r *Relayed) readStore(role Role, read func() ([]Row, int64, error)) ([]Row, int64, error) {
+func (r *RelayedTables) readStore(role Role, read func() ([]Row, int64, error)) ([]Row, int64, error) {
 	if !r.mayRead(time.Now(), role) {
 		return nil, 0, errNotDue
 	}
@@ -151,7 +151,7 @@
 
 // recordAnswer records an answer of the store, or of a reader, whose own answer of the store
 // may be older.
-func (r *Relayed) recordAnswer(now time.Time, reader string) {
+func (r *RelayedTables) recordAnswer(now time.Time, reader string) {
 	r.lastAnswer, r.lastConfirmed, r.interrupted = now, now, false
 	r.following, r.answeredBy = reader != "", reader
 	if r.following {
@@ -162,7 +162,7 @@
 // mayRead reports whether this host may read the store now. A reader or standby may, unless the
 // store recently failed to answer it. A follower may at a random time, chosen so that all
 // followers together keep to followerReadSpacing.
-func (r *Relayed) mayRead(now time.Time, role Role) bool {
+func (r *RelayedTables) mayRead(now time.Time, role Role) bool {
 	if role != Follower {
 		return now.Sub(r.storeFailedAt) >= r.backoff()
 	}
@@ -181,7 +181,7 @@
 
 // backoff returns how long the store is not called after it did not answer. The pause is
 // shorter for a host that has read nothing yet, since it can't serve any request.
-func (r *Relayed) backoff() time.Duration {
+func (r *RelayedTables) backoff() time.Duration {
 	if r.newestVersion == 0 {
 		return firstReadRetryPause
 	}
@@ -196,7 +196,7 @@
 //
 // A relay may be behind what this host has read. Its table could list a server that has already
 // left, so it is treated as stale.
-func (r *Relayed) askReaders(ctx context.Context, names []string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
+func (r *RelayedTables) askReaders(ctx context.Context, names []string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
 	for _, name := range names {
 		if time.Now().Before(r.pauses[name].until) {
 			continue
@@ -234,7 +234,7 @@
 }
 
 // ask sends one call to a reader.
-func (r *Relayed) ask(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
+func (r *RelayedTables) ask(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) ([]Row, int64, error) {
 	start := time.Now()
 	reply, err := r.exchange(ctx, name, call, timeout)
 	if err == nil {
@@ -270,7 +270,7 @@
 
 // readerLost records that the reader that was followed has no fresh answer any more. It had one
 // until it detected the outage, or until it was gone.
-func (r *Relayed) readerLost() {
+func (r *RelayedTables) readerLost() {
 	if detected := time.Now().Add(-outageDetectionTime); detected.After(r.lastAnswer) {
 		r.lastAnswer = detected
 	}
@@ -281,7 +281,7 @@
 // reportedGap returns the length of the outage that a reader reports, if the outage ended after
 // the newest answer. If the store has answered this host or another reader during it, it was
 // unavailable only to that reader.
-func (r *Relayed) reportedGap(reader string, reply *wire.TableReply, now time.Time) time.Duration {
+func (r *RelayedTables) reportedGap(reader string, reply *wire.TableReply, now time.Time) time.Duration {
 	if reply.GapMs == 0 {
 		return 0
 	}
@@ -301,7 +301,7 @@
 	return ended.Sub(r.lastConfirmed)
 }
 
-func (r *Relayed) exchange(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) (*wire.TableReply, error) {
+func (r *RelayedTables) exchange(ctx context.Context, name string, call *wire.TableCall, timeout time.Duration) (*wire.TableReply, error) {
 	if err := r.connect(ctx, name); err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 	reply := &wire.TableReply{}
 	err := wire.Write(st, call)
 	if err == nil {
-		err = wire.Read(st.R, reply)
+		err = wire.Read(st.Reader, reply)
 	}
 	if err != nil {
 		r.close()
@@ -322,14 +322,14 @@
 
 // dropUnlisted closes the stream to a host that is no longer listed, and deletes the pauses of
 // such hosts.
-func (r *Relayed) dropUnlisted(names []string) {
+func (r *RelayedTables) dropUnlisted(names []string) {
 	maps.DeleteFunc(r.pauses, func(name string, _ pause) bool { return !slices.Contains(names, name) })
 	if !slices.Contains(names, r.streamHost) {
 		r.close()
 	}
 }
 
-func (r *Relayed) close() {
+func (r *RelayedTables) close() {
 	if r.stream != nil {
 		r.stream.Abort()
 	}
@@ -337,7 +337,7 @@
 }
 
 // connect opens the stream to a reader unless it is open.
-func (r *Relayed) connect(ctx context.Context, name string) error {
+func (r *RelayedTables) connect(ctx context.Context, name string) error {
 	if r.stream != nil && r.streamHost == name {
 		return nil
 	}
--- a/internal/store/relays.go
+++ b/internal/store/relays.go
@@ -29,10 +29,10 @@
 	return s.tables[name]
 }
 
-// Release ends all waiting calls after the first reader of the store has changed. Without it, a
+// EndWaits ends all waiting calls after the first reader of the store has changed. Without it, a
 // host that becomes the first reader could still wait at its predecessor, which now asks the
 // new one: each would wait for the other, and nobody would read the store.
-func (s *Relays) Release() {
+func (s *Relays) EndWaits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.tables {
@@ -48,7 +48,7 @@
 	defer st.Abort()
 	for {
 		call := &wire.TableCall{}
-		if wire.Read(st.R, call) != nil {
+		if wire.Read(st.Reader, call) != nil {
 			return
 		}
 		reply := &wire.TableReply{Failure: string(failure.StoreDown)}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -92,12 +92,12 @@
 	Tables Tables
 	Table  string
 	Events *event.Recorder
-	// Reread returns the current interval between full reads. If it is nil, RereadStore
+	// RereadInterval returns the current interval between full reads. If it is nil, RereadStore
 	// applies.
-	Reread func() time.Duration
-	// Failed is called when a call fails. It may be nil.
-	Failed func()
-	Apply  func(Update)
+	RereadInterval func() time.Duration
+	// OnFailure is called when a call fails. It may be nil.
+	OnFailure func()
+	Apply     func(Update)
 }
 
 // Update is an answer to a read of a table.
@@ -139,8 +139,8 @@
 		if failure.Is(err, failure.HistoryLost) || ctx.Err() != nil {
 			continue // read the table again at once: changes were missed
 		}
-		if w.Failed != nil {
-			w.Failed()
+		if w.OnFailure != nil {
+			w.OnFailure()
 		}
 		if !down {
 			down = true
@@ -161,10 +161,10 @@
 }
 
 func (w *Watcher) reread() time.Duration {
-	if w.Reread == nil {
+	if w.RereadInterval == nil {
 		return RereadStore
 	}
-	return w.Reread()
+	return w.RereadInterval()
 }
 
 // follow reads the table and its changes until a call fails or the next full read is due.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,7 +38,7 @@
 
 	It("keeps a register within the bytes that the control budget allows", func() {
 		req := core.Request{
-			ID: ident.Mint(ident.NewIncarnation()), Account: 1 << 31, Tier: 3, PromptTokens: 30500, OutputTokens: 700,
+			ID: ident.NewRequestID(ident.NewIncarnation()), Account: 1 << 31, Tier: 3, PromptTokens: 30500, OutputTokens: 700,
 			Prefix: 1 << 63, PrefixTokens: 30000, Whole: 1 << 62,
 		}
 		var b bytes.Buffer
@@ -51,7 +51,7 @@
 // error or give a message that can be acted on.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	id := ident.Mint(7)
+	id := ident.NewRequestID(7)
 	_ = wire.Write(&b, &wire.Batch{Frames: []*wire.Frame{{Body: &wire.Frame_Withdraw{Withdraw: id[:]}}, {Body: &wire.Frame_Heard{Heard: 5}}}})
 	f.Add(b.Bytes())
 	f.Add([]byte{0x80, 0x80, 0x80, 0x80, 0x80, 0x20})
--- a/test/platform/explain_test.go
+++ b/test/platform/explain_test.go
@@ -42,7 +42,7 @@
 	It("names a quota", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		c := appraise()
-		c.Key, c.Prompt = standin.SmallKey, 9000
+		c.Key, c.Prompt = standin.LowQuotaKey, 9000
 		refused := ""
 		for range 4 {
 			if r := s.send(s.hosts[0], c); r.Status == http.StatusTooManyRequests {
--- a/test/platform/fail_test.go
+++ b/test/platform/fail_test.go
@@ -118,7 +118,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 				defer cancel()
 				c := check()
-				c.Key, c.Deadline = standin.AccountKey, 10*time.Second
+				c.Key, c.Deadline = standin.DefaultAccountKey, 10*time.Second
 				attempts <- standin.NewCaller().Send(ctx, h.at(entryPort), c).Attempt
 			})
 		}
@@ -143,8 +143,8 @@
 
 	It("learns what changed while the store forgot its history", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
-		s.servers[1].Vanish()
-		s.store.Forget()
+		s.servers[1].RemoveEntry()
+		s.store.DiscardHistory()
 		time.Sleep(300 * time.Millisecond)
 		before := len(s.servers[1].Runs())
 		for range 4 {
@@ -174,7 +174,7 @@
 				Expect(s.runsOf(r.Attempt)).To(BeEmpty(), s.sent[i].Path)
 				continue
 			}
-			Expect(r.Whole).To(BeTrue(), s.sent[i].Path)
+			Expect(r.Complete).To(BeTrue(), s.sent[i].Path)
 		}
 	})
 
@@ -197,7 +197,7 @@
 		s.start(added)
 		Eventually(func() int { return len(s.lookup(s.hosts[0])) }).Should(Equal(2))
 		Eventually(func() int { return s.send(added, confirm()).Status }).Should(Equal(http.StatusOK))
-		srv := s.addServer(standin.ServerSpec{ID: "i-app-new", Service: standin.AppName, Address: "127.0.0.1:0", Slots: 6, Queue: 24, Work: time.Millisecond})
+		srv := s.addServer(standin.ServerSpec{ID: "i-app-new", Service: standin.AppService, Address: "127.0.0.1:0", Slots: 6, Queue: 24, Work: time.Millisecond})
 		s.servers[1].Drain()
 		Eventually(func() int { s.send(added, confirm()); return len(srv.Runs()) }).Should(BeNumerically(">", 0))
 	})
@@ -246,9 +246,9 @@
 	It("uses no entry that another writer left", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 1, apps: 2})
 		for _, key := range []string{"0", "i-between", "~"} {
-			s.store.Put("servers", key, map[string]any{"service": standin.AppName, "state": "ready", "slots": "6"})
+			s.store.Put("servers", key, map[string]any{"service": standin.AppService, "state": "ready", "slots": "6"})
 			s.store.Put("servers", key+"x", map[string]any{
-				"service": standin.AppName, "address": "127.0.0.1:1", "zone": "fukuoka-hall", "version": "v1",
+				"service": standin.AppService, "address": "127.0.0.1:1", "zone": "fukuoka-hall", "version": "v1",
 				"slots": 60, "state": "ready", "coldRemainingMs": 0, "sequence": 1,
 			})
 		}
--- a/test/platform/fatal_test.go
+++ b/test/platform/fatal_test.go
@@ -44,7 +44,7 @@
 // newFatalSite starts a site whose engines end under fatalBody.
 func newFatalSite(o siteOptions) (*site, *engineRoom) {
 	room := &engineRoom{}
-	o.engine.FatalBody, o.engine.Ended = fatalBody, room.ended
+	o.engine.FatalBody, o.engine.OnCrash = fatalBody, room.ended
 	s := newSite(o)
 	room.mu.Lock()
 	defer room.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.ends = append(r.ends, time.Now())
 	next := fmt.Sprintf("%s-%d", old.Spec.ID, len(r.ends))
 	r.mu.Unlock()
-	time.AfterFunc(entryLapse, old.Expire)
+	time.AfterFunc(entryLapse, old.ExpireEntry)
 	time.AfterFunc(restartTime, func() { r.restart(old, next) })
 }
 
@@ -91,7 +91,7 @@
 	r.site.mu.Lock()
 	defer r.site.mu.Unlock()
 	for _, srv := range r.site.servers {
-		srv.Endure()
+		srv.SurviveFatalBody()
 	}
 }
 
--- a/test/platform/leave_test.go
+++ b/test/platform/leave_test.go
@@ -81,7 +81,7 @@
 				left[srv] = time.Now()
 			}
 			apps := s.servers[engines:]
-			leaves(apps[0], (*standin.Server).Vanish)
+			leaves(apps[0], (*standin.Server).RemoveEntry)
 			leaves(apps[1], (*standin.Server).Drain)
 			time.Sleep(4 * time.Second)
 			for _, p := range s.proxies {
@@ -89,7 +89,7 @@
 			}
 			for _, srv := range apps[2:7] { // the readers hear of the store again meanwhile
 				time.Sleep(300 * time.Millisecond)
-				leaves(srv, (*standin.Server).Vanish)
+				leaves(srv, (*standin.Server).RemoveEntry)
 			}
 			drops.Wait()
 			time.Sleep(drainTime)
--- a/test/platform/notice_test.go
+++ b/test/platform/notice_test.go
@@ -136,14 +136,14 @@
 			limited := s.servers[engines : engines+2]
 			named := time.Now()
 			for _, srv := range limited {
-				srv.Say(standin.Notice{Limit: "1"})
+				srv.SetNotice(standin.Notice{Limit: "1"})
 			}
 			time.Sleep(limitGrace)
 			trouble(s)
 			time.Sleep(limitWindow + time.Second)
 			until := time.Now()
 			for _, srv := range limited {
-				srv.Say(standin.Notice{})
+				srv.SetNotice(standin.Notice{})
 			}
 			for _, srv := range limited { // their next answers say so
 				Eventually(func() int { return arrivedSince(srv, until) }).Should(BeNumerically(">", 4*limit+limitSlack), srv.Spec.ID)
@@ -205,7 +205,7 @@
 			trouble(s)
 			leaving := s.servers[engines : engines+2]
 			for _, srv := range leaving {
-				srv.Say(standin.Notice{Leaving: true})
+				srv.SetNotice(standin.Notice{Leaving: true})
 			}
 			time.Sleep(drainTime + 3*time.Second)
 			s.store.SetDown(false)
@@ -237,7 +237,7 @@
 // asked that host for.
 func sentInRest(rest time.Duration, arrivals []standin.Arrival, calls map[string]sentCall) (most int) {
 	for _, asked := range arrivals {
-		if !asked.Rest {
+		if !asked.Rejected {
 			continue
 		}
 		n := 0
@@ -265,11 +265,11 @@
 			trouble(s)
 			resting := s.servers[:2]
 			for _, srv := range resting {
-				srv.Say(standin.Notice{Rest: "3"})
+				srv.SetNotice(standin.Notice{Rest: "3"})
 			}
 			time.Sleep(2 * rest)
 			for _, srv := range resting {
-				srv.Say(standin.Notice{})
+				srv.SetNotice(standin.Notice{})
 			}
 			well := time.Now()
 			s.hosts[0].session.Signal(syscall.SIGCONT)
--- a/test/platform/promises_test.go
+++ b/test/platform/promises_test.go
@@ -36,11 +36,11 @@
 		breaks(len(e.runs) > 0, "what is told not to have run did not run")
 	case http.StatusOK:
 		expected := e.call.Expected(e.reply.Attempt)
-		breaks(e.reply.Whole && e.reply.Body != expected, "an answer is whole and its own")
-		breaks(!e.reply.Whole && !strings.HasPrefix(expected, e.reply.Body), "what came of a broken answer is its own")
-		breaks(e.reply.Whole && e.reply.Header.Get("Gentianflow-Server-Seal") == "", "a success bears its server's signature")
+		breaks(e.reply.Complete && e.reply.Body != expected, "an answer is whole and its own")
+		breaks(!e.reply.Complete && !strings.HasPrefix(expected, e.reply.Body), "what came of a broken answer is its own")
+		breaks(e.reply.Complete && e.reply.Header.Get("Gentianflow-Server-Seal") == "", "a success bears its server's signature")
 	}
-	breaks(e.planned && !e.reply.Whole && len(e.runs) > 0, "planned work cuts nothing off")
+	breaks(e.planned && !e.reply.Complete && len(e.runs) > 0, "planned work cuts nothing off")
 	for _, run := range e.runs {
 		breaks(run.Key != "", "keys are not passed on")
 		breaks(run.Target != e.call.Path || run.Body != e.call.Body, "servers get what the caller sent")
@@ -60,7 +60,7 @@
 		e := exchange{call: s.sent[i], reply: s.replies[i], runs: s.runsOf(s.replies[i].Attempt)}
 		e.planned = planned != nil && planned(i)
 		Expect(broken(e)).To(BeEmpty(), fmt.Sprintf("%s %s: status %d whole %v err %v, %d runs",
-			e.call.Path, e.reply.Attempt, e.reply.Status, e.reply.Whole, e.reply.Err, len(e.runs)))
+			e.call.Path, e.reply.Attempt, e.reply.Status, e.reply.Complete, e.reply.Err, len(e.runs)))
 	}
 	return len(s.replies)
 }
@@ -71,7 +71,7 @@
 	return exchange{
 		call: c,
 		reply: standin.Reply{
-			Attempt: id, Status: http.StatusOK, Whole: true, Body: c.Expected(id),
+			Attempt: id, Status: http.StatusOK, Complete: true, Body: c.Expected(id),
 			Header: http.Header{"Gentianflow-Server-Seal": {"seal"}},
 		},
 		runs: []standin.Run{{Attempt: id, Target: c.Path, Body: c.Body}},
@@ -106,7 +106,7 @@
 		}),
 		Entry("a short answer that looks complete", "an answer is whole and its own", check(), func(e *exchange) { e.reply.Body = e.reply.Body[:9] }),
 		Entry("a gap before the break", "what came of a broken answer is its own", appraise(), func(e *exchange) {
-			e.reply.Whole, e.reply.Body = false, strings.TrimPrefix(e.reply.Body, standin.Event(e.reply.Attempt, 1))
+			e.reply.Complete, e.reply.Body = false, strings.TrimPrefix(e.reply.Body, standin.Event(e.reply.Attempt, 1))
 		}),
 		Entry("no signature", "a success bears its server's signature", check(), func(e *exchange) { e.reply.Header.Del("Gentianflow-Server-Seal") }),
 		Entry("a cut by a shutdown", "planned work cuts nothing off", confirm(), func(e *exchange) {
--- a/test/platform/rollout_test.go
+++ b/test/platform/rollout_test.go
@@ -32,13 +32,13 @@
 	s.news = nil
 	for i := range servers {
 		srv := s.addServer(standin.ServerSpec{
-			ID: fmt.Sprintf("i-app-%s-%d", version, i), Service: standin.AppName, Zone: s.zone(i), Address: "127.0.0.1:0",
+			ID: fmt.Sprintf("i-app-%s-%d", version, i), Service: standin.AppService, Zone: s.zone(i), Address: "127.0.0.1:0",
 			Version: version, Slots: 6, Queue: 24, Work: 10 * time.Millisecond,
 		})
 		srv.SetFault(fault)
 		s.news = append(s.news, srv)
 	}
-	s.store.Put("op", "rollout/"+standin.AppName, map[string]any{"service": standin.AppName, "to": version, "durationS": rolloutTime.Seconds()})
+	s.store.Put("op", "rollout/"+standin.AppService, map[string]any{"service": standin.AppService, "to": version, "durationS": rolloutTime.Seconds()})
 }
 
 // state reads what operators are told.
@@ -49,7 +49,7 @@
 	}
 	for _, row := range rows {
 		var status struct{ State, To string }
-		if row.Key == "rollout/"+standin.AppName && json.Unmarshal(row.Value, &status) == nil {
+		if row.Key == "rollout/"+standin.AppService && json.Unmarshal(row.Value, &status) == nil {
 			return status.State + " " + status.To
 		}
 	}
@@ -78,7 +78,7 @@
 				r := s.send(hosts[(i+j)%len(hosts)], standin.Call{Path: path})
 				mu.Lock()
 				n++
-				if r.Status != http.StatusOK || !r.Whole {
+				if r.Status != http.StatusOK || !r.Complete {
 					bad++
 				}
 				mu.Unlock()
@@ -194,7 +194,7 @@
 		stop := make(chan struct{})
 		s.load(stop)
 		early := s.addServer(standin.ServerSpec{
-			ID: "i-app-early", Service: standin.AppName, Zone: s.zone(0), Address: "127.0.0.1:0", Version: "v2",
+			ID: "i-app-early", Service: standin.AppService, Zone: s.zone(0), Address: "127.0.0.1:0", Version: "v2",
 			Slots: 6, Queue: 24, Work: 10 * time.Millisecond,
 		})
 		time.Sleep(2 * time.Second)
@@ -205,14 +205,14 @@
 	It("tells of orders that make no sense, and goes on", func() {
 		s := newRolloutSite(siteOptions{hosts: 2, engines: 1, apps: 1})
 		for key, order := range map[string]any{
-			"rollout/" + standin.AppName:    map[string]any{"service": standin.AppName, "to": "v2", "durationS": 0},
-			"rollout/" + standin.EngineName: "no order",
-			"rollout/unknown":               map[string]any{"service": "unknown", "to": "v2", "durationS": 5},
+			"rollout/" + standin.AppService:    map[string]any{"service": standin.AppService, "to": "v2", "durationS": 0},
+			"rollout/" + standin.EngineService: "no order",
+			"rollout/unknown":                  map[string]any{"service": "unknown", "to": "v2", "durationS": 5},
 		} {
 			s.store.Put("op", key, order)
 		}
 		Eventually(func() string { return string(s.hosts[0].session.Out.Contents()) }).WithTimeout(5 * time.Second).
-			Should(And(ContainSubstring("it has no duration"), ContainSubstring("decode the order of a roll-out of "+standin.EngineName)))
+			Should(And(ContainSubstring("it has no duration"), ContainSubstring("decode the order of a roll-out of "+standin.EngineService)))
 		Expect(s.send(s.hosts[0], standin.Call{Path: standin.CheckPath}).Status).To(Equal(http.StatusOK))
 	})
 })
--- a/test/platform/serve_test.go
+++ b/test/platform/serve_test.go
@@ -21,10 +21,10 @@
 			for _, c := range []standin.Call{confirm(), check(), appraise(), digest(), {Path: standin.PublicPath + "x"}} {
 				r := s.send(h, c)
 				Expect(r.Status).To(Equal(http.StatusOK), c.Path)
-				Expect(r.Whole).To(BeTrue())
+				Expect(r.Complete).To(BeTrue())
 				Expect(s.runsOf(r.Attempt)).To(HaveLen(1))
 				if c.Path != standin.PublicPath+"x" {
-					Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.Account))
+					Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.DefaultAccount))
 				}
 			}
 		}
@@ -57,7 +57,7 @@
 		own.Header = map[string]string{"Gentianflow-Tenant": "other", "Gentianflow-Hold": "h", "Kv-From": "x"}
 		r := s.send(h, own)
 		Expect(r.Status).To(Equal(http.StatusOK))
-		Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.Account))
+		Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.DefaultAccount))
 	})
 
 	It("bounds an account over all hosts and says when to come back", func() {
@@ -66,7 +66,7 @@
 		for i := range 12 {
 			calls.Go(func() {
 				c := appraise()
-				c.Key = standin.SmallKey
+				c.Key = standin.LowQuotaKey
 				s.send(s.hosts[i%2], c)
 			})
 		}
@@ -116,7 +116,7 @@
 		c.Output = 30
 		r := s.send(s.hosts[0], c)
 		Expect(r.Body).To(Equal(c.Expected(r.Attempt)))
-		Expect(r.Took).To(BeNumerically("<", 4*time.Second))
+		Expect(r.Duration).To(BeNumerically("<", 4*time.Second))
 	})
 
 	// A digest may not be resumed: cut, it must not look complete.
@@ -124,7 +124,7 @@
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		s.servers[0].SetFault(standin.Fault{CutAfter: 5})
 		r := s.send(s.hosts[0], digest())
-		Expect(r.Whole).To(BeFalse())
+		Expect(r.Complete).To(BeFalse())
 		Expect(s.runsOf(r.Attempt)).To(HaveLen(1))
 	})
 
@@ -169,7 +169,7 @@
 	It("sends nothing to a server that drains, or whose entry is gone", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 1, apps: 3})
 		s.servers[1].Drain()
-		s.servers[2].Vanish()
+		s.servers[2].RemoveEntry()
 		time.Sleep(300 * time.Millisecond) // the promise is seconds; the feed needs milliseconds
 		before := len(s.servers[1].Runs()) + len(s.servers[2].Runs())
 		for i := range 10 {
@@ -186,7 +186,7 @@
 		address := old.Spec.Address
 		old.Close()
 		spec := old.Spec
-		spec.ID, spec.Service, spec.Address = "i-other", standin.EngineName, address
+		spec.ID, spec.Service, spec.Address = "i-other", standin.EngineService, address
 		other := s.addServer(spec)
 		for range 4 {
 			Expect(s.send(s.hosts[0], confirm()).Status).To(Equal(http.StatusOK))
@@ -200,12 +200,12 @@
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1, engine: standin.ServerSpec{PerEvent: 100 * time.Millisecond}})
 		ctx, cancel := context.WithCancel(context.Background())
 		c := appraise()
-		c.Key, c.Deadline = standin.AccountKey, 8*time.Second
+		c.Key, c.Deadline = standin.DefaultAccountKey, 8*time.Second
 		var caller sync.WaitGroup
 		caller.Go(func() { s.caller.Send(ctx, s.hosts[0].at(entryPort), c) })
 		Eventually(func() int { return len(s.servers[0].Runs()) }).Should(Equal(1))
 		cancel()
-		Eventually(func() bool { return s.servers[0].Runs()[0].Left }).WithTimeout(500 * time.Millisecond).Should(BeTrue())
+		Eventually(func() bool { return s.servers[0].Runs()[0].Disconnected }).WithTimeout(500 * time.Millisecond).Should(BeTrue())
 		caller.Wait()
 	})
 })
--- a/test/platform/site_test.go
+++ b/test/platform/site_test.go
@@ -118,7 +118,7 @@
 	}
 	spec.Advertise = advertise
 	s.config.Put(s.store)
-	spec.Service, spec.Streams, spec.Address = standin.EngineName, true, "127.0.0.1:0"
+	spec.Service, spec.Streams, spec.Address = standin.EngineService, true, "127.0.0.1:0"
 	spec.Slots, spec.Queue = max(8, spec.Slots), 8
 	if spec.PerEvent == 0 {
 		spec.PerEvent = 5 * time.Millisecond
@@ -129,9 +129,9 @@
 	}
 	for i := range o.apps {
 		s.addServer(standin.ServerSpec{
-			ID: fmt.Sprintf("i-app%d", i), Service: standin.AppName, Zone: s.zone(i), Address: "127.0.0.1:0",
+			ID: fmt.Sprintf("i-app%d", i), Service: standin.AppService, Zone: s.zone(i), Address: "127.0.0.1:0",
 			Slots: 6, Queue: 24, Work: 10 * time.Millisecond, Advertise: advertise,
-			FatalBody: o.engine.FatalBody, Ended: o.engine.Ended,
+			FatalBody: o.engine.FatalBody, OnCrash: o.engine.OnCrash,
 		})
 	}
 	for i := range o.hosts {
@@ -230,7 +230,7 @@
 // send sends a call to a host and keeps it for the checks at the end.
 func (s *site) send(h *host, c standin.Call) standin.Reply {
 	if c.Key == "" && !strings.HasPrefix(c.Path, standin.PublicPath) {
-		c.Key = standin.AccountKey
+		c.Key = standin.DefaultAccountKey
 	}
 	if c.Deadline == 0 {
 		c.Deadline = 600 * time.Millisecond
@@ -301,7 +301,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.replies {
-		if r.Status == http.StatusOK && r.Whole {
+		if r.Status == http.StatusOK && r.Complete {
 			ok++
 		}
 	}
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -184,9 +184,9 @@
 }
 
 func (k *soak) forget() string {
-	k.store.Forget()
+	k.store.DiscardHistory()
 	n := k.rng.IntN(3)
-	k.store.LoseAnswers(n)
+	k.store.DropAnswers(n)
 	return fmt.Sprintf("%d answers too", n)
 }
 
@@ -207,7 +207,7 @@
 func (k *soak) accounts() string {
 	rate := 500 * (1 + k.rng.IntN(8))
 	k.config.Tenants[1]["ratePerS"] = rate
-	k.config.Tenants[0]["apiKeys"] = []string{standin.AccountKey, fmt.Sprint("key-", k.rng.IntN(100))}
+	k.config.Tenants[0]["apiKeys"] = []string{standin.DefaultAccountKey, fmt.Sprint("key-", k.rng.IntN(100))}
 	return fmt.Sprintf("quota %d, %s", rate, k.configure())
 }
 
@@ -234,8 +234,8 @@
 	srv := k.servers[k.rng.IntN(len(k.servers))]
 	notices := []standin.Notice{{Limit: "1"}, {Limit: "5"}, {Rest: "0.5"}, {Rest: "2"}}
 	n := notices[k.rng.IntN(len(notices))]
-	srv.Say(n)
-	k.heal = append(k.heal, func() { srv.Say(standin.Notice{}) })
+	srv.SetNotice(n)
+	k.heal = append(k.heal, func() { srv.SetNotice(standin.Notice{}) })
 	return fmt.Sprintf("%s %+v", srv.Spec.ID, n)
 }
 
@@ -261,7 +261,7 @@
 	case 0:
 		old.Drain()
 	case 1:
-		old.Vanish()
+		old.RemoveEntry()
 	default:
 		old.Close()
 	}
--- a/test/resend_test.go
+++ b/test/resend_test.go
@@ -104,7 +104,7 @@
 func (f *fleet) mint(h *host) string {
 	inc, err := ident.ParseIncarnation(h.inc)
 	Expect(err).NotTo(HaveOccurred())
-	return ident.Mint(inc).String()
+	return ident.NewRequestID(inc).String()
 }
 
 // resendRace sends each id through a first host and, delays later, through
