--- a/caller/call.go
+++ b/caller/call.go
@@ -157,7 +157,7 @@
 	if len(k.tried) == 0 {
 		// No host can hold the request yet, so it gets a new id under the ticket
 		// of this host. With a Key the host derives the id.
-		k.id = ident.Mint(inc)
+		k.id = ident.NewRequestID(inc)
 		if k.req.Key != "" {
 			k.id = ident.RequestID{}
 		}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -40,12 +40,12 @@
 // API is the HTTP interface for callers.
 type API struct {
 	deps     Dependencies
-	prefixes *prefix.Seen
+	prefixes *prefix.BlockSet
 }
 
 // New returns the API.
 func New(deps Dependencies) (*API, error) {
-	seen, err := prefix.NewSeen(maxSeenBlocks)
+	seen, err := prefix.NewBlockSet(maxSeenBlocks)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cellwire/holder.go
+++ b/internal/cellwire/holder.go
@@ -24,15 +24,15 @@
 	case *wire.Frame_Register:
 		return register(b.Register, holder, now)
 	case *wire.Frame_Withdraw:
-		id, err := ident.FromBytes(b.Withdraw)
+		id, err := ident.RequestIDFromBytes(b.Withdraw)
 		return core.Withdraw{ID: id, Holder: holder}, err
 	case *wire.Frame_Locate:
-		id, err := ident.FromBytes(b.Locate)
+		id, err := ident.RequestIDFromBytes(b.Locate)
 		return core.Locate{ID: id, Asker: holder}, err
 	case *wire.Frame_RevokeAnswer:
 		return revokeAnswer(b.RevokeAnswer, holder)
 	case *wire.Frame_Returned:
-		id, err := ident.FromBytes(b.Returned.GetId())
+		id, err := ident.RequestIDFromBytes(b.Returned.GetId())
 		return core.Returned{ID: id, Holder: holder, ServerFailed: b.Returned.GetServerFailed()}, err
 	case *wire.Frame_Finished:
 		return finished(b.Finished, holder)
@@ -45,7 +45,7 @@
 }
 
 func register(r *wire.Register, holder ident.Incarnation, now core.Time) (core.Event, error) {
-	id, err := ident.FromBytes(r.GetId())
+	id, err := ident.RequestIDFromBytes(r.GetId())
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 }
 
 func revokeAnswer(a *wire.RevokeAnswer, holder ident.Incarnation) (core.Event, error) {
-	id, err := ident.FromBytes(a.GetId())
+	id, err := ident.RequestIDFromBytes(a.GetId())
 	ev := core.RevokeAnswer{ID: id, Holder: holder, Server: ident.ServerID(a.GetServer())}
 	if a.GetDispatched() {
 		ev.Verdict = core.Dispatched
@@ -72,7 +72,7 @@
 }
 
 func finished(f *wire.Finished, holder ident.Incarnation) (core.Event, error) {
-	id, err := ident.FromBytes(f.GetId())
+	id, err := ident.RequestIDFromBytes(f.GetId())
 	return core.Finished{
 		ID: id, Holder: holder, PromptTokens: int(f.GetPromptTokens()), OutputTokens: int(f.GetOutputTokens()),
 		FirstToken: micros(uint64(f.GetFirstTokenUs())), Total: micros(uint64(f.GetTotalUs())), Failed: f.GetFailed(),
@@ -128,7 +128,7 @@
 // Entry converts a ledger line into a ledger entry. It fails with BadFrame for
 // an invalid id or state.
 func Entry(l *wire.LedgerLine) (core.LedgerEntry, error) {
-	id, err := ident.FromBytes(l.GetId())
+	id, err := ident.RequestIDFromBytes(l.GetId())
 	if err != nil {
 		return core.LedgerEntry{}, err
 	}
--- a/internal/cellwire/home.go
+++ b/internal/cellwire/home.go
@@ -55,7 +55,7 @@
 	default:
 		return a, failure.New(failure.BadFrame, "unexpected frame %T from a home", f.Body)
 	}
-	id, err := ident.FromBytes(raw)
+	id, err := ident.RequestIDFromBytes(raw)
 	a.ID = id
 	return a, err
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -166,7 +166,7 @@
 	})
 	id := peer.Identity{Incarnation: d.inc, Host: d.set.Host, Fleet: d.set.Fleet}
 	d.peers = peer.NewManager(id, d.set.AdvertiseControl, d.serveStream, peerObserver{d}, d.events, &d.traffic)
-	d.peers.DialFrom(d.controlListener.Addr().(*net.TCPAddr).IP)
+	d.peers.SetLocalIP(d.controlListener.Addr().(*net.TCPAddr).IP)
 	d.homes.SetPeers(d.peers)
 	d.holder.SetPeers(d.peers)
 }
@@ -277,7 +277,7 @@
 		case <-ctx.Done():
 			return
 		}
-		lastAnswer := d.config.LastStore()
+		lastAnswer := d.config.LastStoreAnswer()
 		if lastPeerAnswer := d.gossip.LastAnswer(); lastPeerAnswer.After(lastAnswer) {
 			lastAnswer = lastPeerAnswer
 		}
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -135,18 +135,18 @@
 		return nil, err
 	}
 	var reply wire.ConfigReply
-	return &reply, wire.Read(st.R, &reply)
+	return &reply, wire.Read(st.Reader, &reply)
 }
 
 func (d *Daemon) serveConfig(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
 	_ = st.SetDeadline(time.Now().Add(configTimeout))
 	var req wire.ConfigRequest
-	if wire.Read(st.R, &req) != nil {
+	if wire.Read(st.Reader, &req) != nil {
 		return
 	}
 	reply := &wire.ConfigReply{}
-	if c, ok := d.config.Offer(req.Above); ok {
+	if c, ok := d.config.NewerThan(req.Above); ok {
 		reply.Version, reply.ChangeId, reply.Document = c.Version, c.ChangeID, c.Text
 	}
 	_ = wire.Write(st, reply) // the requesting host tries another peer
@@ -203,13 +203,13 @@
 // Broke implements peer.Observer. When a process dies, its sessions end and its
 // port refuses connections. Connecting to the port immediately proves the death
 // within milliseconds, before the next membership probe would detect it.
-func (o peerObserver) Broke(inc ident.Incarnation) {
+func (o peerObserver) SessionEnded(inc ident.Incarnation) {
 	m, ok := o.d.members.Get(inc)
 	if !ok || m.Proved || inc == o.d.inc {
 		return
 	}
 	for range portCheckAttempts {
-		if member.Refuses(m.ControlAddress, portCheckTimeout) {
+		if member.RefusesConnections(m.ControlAddress, portCheckTimeout) {
 			o.d.members.ProveDead(inc, "its session ended and its port refuses connections")
 			return
 		}
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -270,7 +270,7 @@
 	defer close(s.readerDone)
 	for {
 		var b wire.Batch
-		if wire.Read(s.st.R, &b) != nil {
+		if wire.Read(s.st.Reader, &b) != nil {
 			return
 		}
 		l.h.src.Events.Witness(b.Lamport)
--- a/internal/holder/relay.go
+++ b/internal/holder/relay.go
@@ -108,7 +108,7 @@
 		return relayBroken
 	}
 	defer func() { _ = st.Close() }()
-	req := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.Account(r.Sub.Account)), Offset: uint64(r.answer.size())}
+	req := &wire.AttachRequest{Id: r.Sub.ID[:], Account: uint32(ident.AccountIDOf(r.Sub.Account)), Offset: uint64(r.answer.size())}
 	if wire.Write(st, req) != nil {
 		return relayBroken
 	}
@@ -173,7 +173,7 @@
 
 func readWithin(st *peer.Stream, m wire.Message, d time.Duration) error {
 	_ = st.SetReadDeadline(time.Now().Add(d))
-	return wire.Read(st.R, m)
+	return wire.Read(st.Reader, m)
 }
 
 // resumeAt reads the answer from its first part at the given server. It reports
@@ -206,7 +206,7 @@
 		return false
 	}
 	for i := range svc.BackendServers {
-		if r.resumeAt(ctx, ident.Server(svc.BackendServers[i].Name)) {
+		if r.resumeAt(ctx, ident.ServerIDOf(svc.BackendServers[i].Name)) {
 			return true
 		}
 	}
@@ -259,12 +259,12 @@
 // for a record that itself follows another host, because two hosts could then
 // wait for each other.
 func (h *Holder) attachable(req *wire.AttachRequest) *Record {
-	id, err := ident.FromBytes(req.GetId())
+	id, err := ident.RequestIDFromBytes(req.GetId())
 	if err != nil {
 		return nil
 	}
 	r, ok := h.Get(id)
-	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.Account(r.Sub.Account)) != req.GetAccount() {
+	if !ok || r.State() == stateAttached || r.Sub.LocateOnly || uint32(ident.AccountIDOf(r.Sub.Account)) != req.GetAccount() {
 		return nil
 	}
 	return r
--- a/internal/home/cell.go
+++ b/internal/home/cell.go
@@ -189,7 +189,7 @@
 	ev := core.Configure{Waiting: doc.Rules.Limits.Waiting, Horizon: doc.Rules.Limits.Horizon.Std()}
 	serverNames := map[ident.ServerID]string{}
 	for _, b := range svc.BackendServers {
-		id := ident.Server(b.Name)
+		id := ident.ServerIDOf(b.Name)
 		serverNames[id] = b.Name
 		ev.Servers = append(ev.Servers, core.ServerSpec{
 			ID: id, Speed: b.Speed, MaxSequences: b.MaxSequences, CacheTokens: b.CacheTokens,
@@ -197,7 +197,7 @@
 		})
 	}
 	for _, a := range doc.ClientAccounts {
-		ev.Shares = append(ev.Shares, core.AccountShare{Account: ident.Account(a.Name), Share: a.Share})
+		ev.Shares = append(ev.Shares, core.AccountShare{Account: ident.AccountIDOf(a.Name), Share: a.Share})
 	}
 	c.push(input{event: ev, call: func(*core.Cell) { c.serverNames = serverNames }})
 }
--- a/internal/home/orders.go
+++ b/internal/home/orders.go
@@ -14,13 +14,13 @@
 // prevents two hosts from ordering at the same time.
 func (m *Manager) reconcileServerStates(h *hostedCell, service string) {
 	self := m.src.Members.Self().Incarnation
-	reconciler := order.NewGiver(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
-	tick := time.NewTicker(order.Period)
+	reconciler := order.NewReconciler(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
+	tick := time.NewTicker(order.ReconcilePeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			reconciler.Round(h.cell.ctx, m.desiredStates(h, service))
+			reconciler.Reconcile(h.cell.ctx, m.desiredStates(h, service))
 		case <-h.cell.ctx.Done():
 			return
 		}
@@ -29,7 +29,7 @@
 
 // desiredStates returns the servers for which the inventory sets a state, and
 // none when another host is the home.
-func (m *Manager) desiredStates(h *hostedCell, service string) []order.Wish {
+func (m *Manager) desiredStates(h *hostedCell, service string) []order.DesiredState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if h.applied == nil || !h.lostAt.IsZero() {
@@ -39,10 +39,10 @@
 	if !ok {
 		return nil
 	}
-	var out []order.Wish
+	var out []order.DesiredState
 	for _, b := range svc.BackendServers {
 		if b.Wants != "" {
-			out = append(out, order.Wish{Server: b.Name, State: b.Wants, Orderer: backend.NewOrderer(b.Address, m.src.Watch)})
+			out = append(out, order.DesiredState{Server: b.Name, State: b.Wants, ServerClient: backend.NewOrderer(b.Address, m.src.Watch)})
 		}
 	}
 	return out
--- a/internal/home/watch.go
+++ b/internal/home/watch.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func (w *serverWatcher) id() ident.ServerID { return ident.Server(w.server.Name) }
+func (w *serverWatcher) id() ident.ServerID { return ident.ServerIDOf(w.server.Name) }
 
 func (w *serverWatcher) pollLoad(ctx context.Context) {
 	l, err := w.reports.Load(ctx)
