--- a/cmd/gentianctl/explain.go
+++ b/cmd/gentianctl/explain.go
@@ -67,7 +67,7 @@
 	return all, nil
 }
 
-func printStory(s explain.Story) {
+func printStory(s explain.RequestHistory) {
 	fmt.Println("the request:")
 	printLines(s.Request)
 	if len(s.Ends) > 0 {
--- a/cmd/gentianctl/losses.go
+++ b/cmd/gentianctl/losses.go
@@ -46,13 +46,13 @@
 func printLosses(rows []explain.Tally) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "of\tall\t")
-	for _, end := range explain.Losses {
+	for _, end := range explain.Outcomes {
 		fmt.Fprintf(w, "%s\t", end)
 	}
 	fmt.Fprintln(w)
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%d\t", r.Of, r.Total)
-		for _, end := range explain.Losses {
+		for _, end := range explain.Outcomes {
 			fmt.Fprintf(w, "%d\t", r.Ends[end])
 		}
 		fmt.Fprintln(w)
--- a/cmd/gentianctl/platform.go
+++ b/cmd/gentianctl/platform.go
@@ -81,7 +81,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tVALUE\tUNIT\tFROM\tTO\tOFF\tDOES")
 	for _, s := range sched.Settings() {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%g\t%g\t%s\t%s\n", s.Name, s.Value(p), s.Unit, s.Least, s.Most, s.Off, s.Does)
+		fmt.Fprintf(w, "%s\t%g\t%s\t%g\t%g\t%s\t%s\n", s.Name, s.Value(p), s.Unit, s.Min, s.Max, s.DisabledValue, s.Description)
 	}
 	return w.Flush()
 }
--- a/cmd/gentianctl/quarantine.go
+++ b/cmd/gentianctl/quarantine.go
@@ -57,7 +57,7 @@
 }
 
 func releaseQuarantine(ctx context.Context, c *cli.Command) error {
-	f, ok := quarantine.Parse(c.Args().First())
+	f, ok := quarantine.ParseFingerprint(c.Args().First())
 	if !ok {
 		return failure.New(failure.BadRequest, "give the fingerprint as gentianctl platform quarantine list shows it")
 	}
--- a/cmd/gentianctl/rollout.go
+++ b/cmd/gentianctl/rollout.go
@@ -16,7 +16,7 @@
 // rolloutCommand shows the roll-outs of services' new versions, and holds or ends one.
 func rolloutCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
-	wish := func(name, usage string, w rollout.Wish) *cli.Command {
+	wish := func(name, usage string, w rollout.Command) *cli.Command {
 		return &cli.Command{
 			Name: name, Usage: usage + "; the home notices within some seconds", ArgsUsage: "SERVICE", Flags: []cli.Flag{address},
 			Action: func(ctx context.Context, c *cli.Command) error { return writeWish(ctx, c, w) },
@@ -41,7 +41,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tTO\tPHASE\tORDERED\tBY\tWHY")
 	for _, r := range rows {
-		if service, ok := rollout.WishOf(r.Key); ok {
+		if service, ok := rollout.ServiceOfCommandKey(r.Key); ok {
 			fmt.Fprintf(w, "%s\t\toperators: %s\t\t\t\n", service, r.Value)
 			continue
 		}
@@ -55,10 +55,10 @@
 	return w.Flush()
 }
 
-func writeWish(ctx context.Context, c *cli.Command, w rollout.Wish) error {
+func writeWish(ctx context.Context, c *cli.Command, w rollout.Command) error {
 	service := c.Args().First()
 	if service == "" {
 		return failure.New(failure.BadRequest, "give the SERVICE as gentianctl platform rollout list shows it")
 	}
-	return platform.NewStore(c.String("store")).Put(ctx, platform.RolloutTable, rollout.WishKey(service), []byte(w))
+	return platform.NewStore(c.String("store")).Put(ctx, platform.RolloutTable, rollout.CommandKey(service), []byte(w))
 }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -15,35 +15,35 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Ask is a request for a placement at a backend server.
-type Ask struct {
-	Request      string // the caller's request ID, for logs
-	Service      string
-	Account      string
-	Priority     int
-	PromptTokens int
-	OutputTokens int
-	Units        int
-	Parts        []sched.Part
-	Arrived      time.Time
-	Aim          time.Time // latency target
-	LeavesAt     time.Time // caller timeout: when the caller gives up without a first event, zero: at the deadline
-	Deadline     time.Time
-	MaxPause     time.Duration // longest interval between events of a stream that is on time, 0: no limit
-	Repeat       bool
-	Avoid        []string
-	Fingerprint  quarantine.Fingerprint
-	Route        string
-	Repeatable   bool // the run may be aborted and repeated or resumed on another server
+// PlacementRequest is a request for a placement at a backend server.
+type PlacementRequest struct {
+	Request         string // the caller's request ID, for logs
+	Service         string
+	Account         string
+	Priority        int
+	PromptTokens    int
+	OutputTokens    int
+	Units           int
+	PromptParts     []sched.Part
+	Arrived         time.Time
+	LatencyTarget   time.Time // for the first event of a stream or the whole answer of a plain call
+	CallerTimeoutAt time.Time // when the caller gives up without a first event, zero: at the deadline
+	Deadline        time.Time
+	MaxPause        time.Duration // longest interval between events of a stream that is on time, 0: no limit
+	Repeat          bool
+	Avoid           []string
+	Fingerprint     quarantine.Fingerprint
+	Route           string
+	Repeatable      bool // the run may be aborted and repeated or resumed on another server
 }
 
-// Place is a placement: the permission to send a request once to a backend server.
-type Place struct {
+// Placement is the permission to send a request once to a backend server.
+type Placement struct {
 	ID      uint64
 	Server  string
 	Address string
-	// Alone is set if the local loop made the placement, not the home.
-	Alone bool
+	// Local is set if the local loop made the placement, not the home.
+	Local bool
 	// ListAge is the age of this host's server list when it received the placement.
 	ListAge time.Duration
 }
@@ -95,7 +95,7 @@
 
 // pending is a placement request that waits, or the run that followed its placement.
 type pending struct {
-	ask      *Ask
+	ask      *PlacementRequest
 	via      *homeLink // where the request was sent, nil: the local loop
 	sentAt   time.Time
 	acked    bool
@@ -135,7 +135,7 @@
 
 // Acquire waits for a placement. It fails with *Refused, or with the error of ctx.
 // The caller must call Finish for each placement.
-func (c *Client) Acquire(ctx context.Context, ask *Ask) (Place, error) {
+func (c *Client) Acquire(ctx context.Context, ask *PlacementRequest) (Placement, error) {
 	p := &pending{ask: ask, done: make(chan sched.Decision, 1)}
 	c.mu.Lock()
 	c.lastID++
@@ -147,12 +147,12 @@
 		select {
 		case d := <-p.done:
 			if d.Reason != 0 {
-				return Place{}, &Refused{d}
+				return Placement{}, &Refused{d}
 			}
-			return Place{ID: id, Server: d.Server, Address: d.Address, Alone: c.decidedLocally(p), ListAge: c.servers.Age()}, nil
+			return Placement{ID: id, Server: d.Server, Address: d.Address, Local: c.decidedLocally(p), ListAge: c.servers.Age()}, nil
 		case <-ctx.Done():
 			c.withdraw(id)
-			return Place{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a placement")
+			return Placement{}, failure.Wrap(failure.Withdrawn, context.Cause(ctx), "while waiting for a placement")
 		}
 	}
 }
@@ -211,21 +211,21 @@
 	})
 }
 
-// Finish reports how the run of a placement ended, or, with the results Pace and Stalled,
+// Finish reports how the run of a placement ended, or, with the results Progress and Stalled,
 // the progress of a run that continues. timeToFirst is the time from dispatch to the first
 // event and tokenInterval the time per output token; both are 0 if unknown.
 func (c *Client) Finish(id uint64, result sched.Result, timeToFirst, tokenInterval time.Duration) {
-	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result, First: timeToFirst, Pace: tokenInterval}
+	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result, FirstEvent: timeToFirst, TokenTime: tokenInterval}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pending[id]
 	if p == nil {
 		return
 	}
-	if result != sched.Pace && result != sched.Stalled {
+	if result != sched.Progress && result != sched.Stalled {
 		delete(c.pending, id)
 	}
-	if result == sched.Ended && p.via != nil {
+	if result == sched.ServerEnded && p.via != nil {
 		c.learnLoss(p, timeToFirst > 0)
 	}
 	if p.via != nil {
@@ -246,13 +246,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pushLocal(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
-		s.Teach(decodePaces(estimates))
+		s.ImportLearned(decodePaces(estimates))
 		return nil
 	})
 }
 
-// Blame reports that a server failed a request which another server then answered.
-func (c *Client) Blame(server string) {
+// RecordServerFault reports that a server failed a request which another server then answered.
+func (c *Client) RecordServerFault(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link != nil {
@@ -260,7 +260,7 @@
 		return
 	}
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
-		s.Blame(now, server)
+		s.RecordServerFault(now, server)
 		return nil
 	})
 }
@@ -307,15 +307,15 @@
 	}
 	// A home that has lost its connection to the store still places at servers that have
 	// shut down since. If this host knows of the shutdown, it returns the placement with
-	// the result Gone, which informs the home, and submits the request again.
+	// the result Replaced, which informs the home, and submits the request again.
 	if c.leaving(d.Server) {
-		c.returnPlacement(d.ID, via, sched.Gone)
+		c.returnPlacement(d.ID, via, sched.Replaced)
 		c.send(d.ID, p)
 		return
 	}
 	// The notice was sent to the home before, so the home knows of the backoff when the
 	// placement is returned.
-	if c.notices.Of(d.Server).Rest(now) > 0 {
+	if c.notices.Get(d.Server).Backoff(now) > 0 {
 		c.returnPlacement(d.ID, via, sched.Unused)
 		c.send(d.ID, p)
 		return
@@ -330,7 +330,7 @@
 // leaving reports whether a server is known to be shutting down, from the server list or
 // from a notice of the server itself.
 func (c *Client) leaving(server string) bool {
-	return c.servers.Leaving(server) || c.notices.Of(server).Leaving
+	return c.servers.Leaving(server) || c.notices.Get(server).Leaving
 }
 
 // returnPlacement returns an unused placement to the scheduler that made it.
--- a/internal/dispatch/client_test.go
+++ b/internal/dispatch/client_test.go
@@ -42,9 +42,9 @@
 	return c, loop
 }
 
-func ask() *Ask {
+func ask() *PlacementRequest {
 	now := time.Now()
-	return &Ask{Service: "svc", Arrived: now, Aim: now.Add(time.Second), Deadline: now.Add(2 * time.Second)}
+	return &PlacementRequest{Service: "svc", Arrived: now, LatencyTarget: now.Add(time.Second), Deadline: now.Add(2 * time.Second)}
 }
 
 func neverLeaving(string) bool { return false }
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -10,18 +10,18 @@
 
 // encodeAsk encodes a placement request. Clocks of hosts differ, so points in time are sent
 // as durations relative to the time of sending.
-func encodeAsk(now time.Time, id uint64, a *Ask) *wire.Ask {
+func encodeAsk(now time.Time, id uint64, a *PlacementRequest) *wire.Ask {
 	m := &wire.Ask{
 		Id: id, Service: a.Service, Account: a.Account, Priority: uint32(a.Priority),
 		PromptTokens: uint32(a.PromptTokens), OutputTokens: uint32(a.OutputTokens), Units: uint32(a.Units),
-		DeadlineMs: millis(a.Deadline.Sub(now)), AimMs: millis(a.Aim.Sub(now)), WaitedMs: millis(now.Sub(a.Arrived)),
+		DeadlineMs: millis(a.Deadline.Sub(now)), AimMs: millis(a.LatencyTarget.Sub(now)), WaitedMs: millis(now.Sub(a.Arrived)),
 		PauseMs: millis(a.MaxPause), Repeat: a.Repeat, Avoid: a.Avoid, Fingerprint: a.Fingerprint.Bytes(),
 		Route: a.Route, Repeatable: a.Repeatable,
 	}
-	if !a.LeavesAt.IsZero() {
-		m.LeavesMs = max(1, millis(a.LeavesAt.Sub(now)))
+	if !a.CallerTimeoutAt.IsZero() {
+		m.LeavesMs = max(1, millis(a.CallerTimeoutAt.Sub(now)))
 	}
-	for _, p := range a.Parts {
+	for _, p := range a.PromptParts {
 		m.Parts = append(m.Parts, &wire.Part{Key: p.Key, Tokens: uint32(p.Tokens)})
 	}
 	return m
@@ -37,15 +37,15 @@
 	r := sched.Request{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Zone: zone, Service: m.Service, Account: m.Account,
 		Priority: int(m.Priority), PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens),
-		Units: float64(m.Units), Arrived: now - fromMillis(m.WaitedMs), Aim: now + fromMillis(m.AimMs),
-		Deadline: now + fromMillis(m.DeadlineMs), MaxPause: fromMillis(m.PauseMs), Repeat: m.Repeat, Avoid: m.Avoid, Fingerprint: quarantine.FromBytes(m.Fingerprint),
-		Route: m.Route, Repeatable: m.Repeatable,
+		Units: float64(m.Units), Arrived: now - fromMillis(m.WaitedMs), LatencyTarget: now + fromMillis(m.AimMs),
+		Deadline: now + fromMillis(m.DeadlineMs), MaxPause: fromMillis(m.PauseMs), Retry: m.Repeat, Avoid: m.Avoid, Fingerprint: quarantine.FingerprintFromBytes(m.Fingerprint),
+		Route: m.Route, Interruptible: m.Repeatable,
 	}
 	if m.LeavesMs > 0 {
-		r.LeavesAt = now + fromMillis(m.LeavesMs)
+		r.CallerTimeoutAt = now + fromMillis(m.LeavesMs)
 	}
 	for _, p := range m.Parts {
-		r.Parts = append(r.Parts, sched.Part{Key: p.Key, Tokens: int(p.Tokens)})
+		r.PromptParts = append(r.PromptParts, sched.Part{Key: p.Key, Tokens: int(p.Tokens)})
 	}
 	return r
 }
@@ -53,14 +53,14 @@
 func encodeOutcome(o sched.Outcome) *wire.Outcome {
 	return &wire.Outcome{
 		Id: o.ID, Result: uint32(o.Result),
-		FirstUs: uint32(o.First.Microseconds()), PaceUs: uint32(o.Pace.Microseconds()),
+		FirstUs: uint32(o.FirstEvent.Microseconds()), PaceUs: uint32(o.TokenTime.Microseconds()),
 	}
 }
 
 func decodeOutcome(holder uint64, m *wire.Outcome) sched.Outcome {
 	return sched.Outcome{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Result: sched.Result(m.Result),
-		First: time.Duration(m.FirstUs) * time.Microsecond, Pace: time.Duration(m.PaceUs) * time.Microsecond,
+		FirstEvent: time.Duration(m.FirstUs) * time.Microsecond, TokenTime: time.Duration(m.PaceUs) * time.Microsecond,
 	}
 }
 
@@ -72,11 +72,11 @@
 	}
 }
 
-func decodeRunning(holder uint64, m *wire.Running) sched.Run {
-	return sched.Run{
+func decodeRunning(holder uint64, m *wire.Running) sched.AdoptedRun {
+	return sched.AdoptedRun{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Service: m.Service, Server: m.Server,
 		PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens), Elapsed: fromMillis(m.ElapsedMs), MaxPause: fromMillis(m.PauseMs),
-		Account: m.Account, Fingerprint: quarantine.FromBytes(m.Fingerprint), Repeatable: m.Repeatable,
+		Account: m.Account, Fingerprint: quarantine.FingerprintFromBytes(m.Fingerprint), Interruptible: m.Repeatable,
 	}
 }
 
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -96,9 +96,9 @@
 // that may take over. With 630 servers this is 7 KB a second for each host.
 const estimatesPeriod = 2 * time.Second
 
-// TeachNext sends the estimates of server speeds to the hosts that may take over, while this
+// SendEstimates sends the estimates of server speeds to the hosts that may take over, while this
 // host leads and until ctx ends.
-func (h *Home) TeachNext(ctx context.Context) {
+func (h *Home) SendEstimates(ctx context.Context) {
 	tick := time.NewTicker(estimatesPeriod)
 	defer tick.Stop()
 	for {
@@ -196,7 +196,7 @@
 			out = append(out, s.Finish(now, decodeOutcome(l.holder, o))...)
 		}
 		for _, server := range m.Blamed {
-			s.Blame(now, server)
+			s.RecordServerFault(now, server)
 		}
 		for _, c := range m.Charges {
 			s.Charge(now, c.Account, float64(c.Units))
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -24,7 +24,7 @@
 	var h *Home
 	loop := NewLoop(sched.DefaultPolicy(), events, func(out []sched.Decision) { h.Deliver(out) })
 	h = NewHome(loop, func() []uint64 { return nil })
-	loop.OnSuspects(h.TellSuspects)
+	loop.OnSuspects(h.SendSuspects)
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetServices(now, []sched.Service{{Name: "svc"}})
 		s.SetServers(now, []sched.Server{{ID: "a", Service: "svc", Address: "a", Slots: 1}})
@@ -204,14 +204,14 @@
 })
 
 // meteredAsk is a placement request that costs its account units.
-func meteredAsk() *Ask {
+func meteredAsk() *PlacementRequest {
 	a := ask()
 	a.Account, a.Units = "acc", 300
 	return a
 }
 
 // placeLocally gets a placement from a host's local loop.
-func placeLocally() (*Client, Place) {
+func placeLocally() (*Client, Placement) {
 	c, loop := startHost(neverLeaving, "a")
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetAccounts(now, []sched.Account{{Name: "acc", Rate: 1000, Burst: 1000}})
@@ -266,7 +266,7 @@
 	It("knows the old home's estimates of server speeds", func() {
 		h, loop := startHome()
 		loop.Do(func(now sched.Time, s *sched.Scheduler) {
-			s.Teach([]sched.Learned{{Server: "a", TokenTime: 11 * time.Millisecond}})
+			s.ImportLearned([]sched.Learned{{Server: "a", TokenTime: 11 * time.Millisecond}})
 		})
 		e := openLink(h)
 		e.send(&wire.ToHome{Ping: 1})
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -37,7 +37,7 @@
 	deliver     func([]sched.Decision)
 	events      *event.Recorder
 	onSuspects  SuspectsFunc
-	onRollouts  func([]rollout.Standing)
+	onRollouts  func([]rollout.Status)
 	quarantined map[quarantine.Fingerprint]bool // requests whose quarantine was logged
 }
 
@@ -47,7 +47,7 @@
 	return &Loop{
 		in: ring.New[input](loopQueueSize), start: time.Now(),
 		sched: sched.New(p), deliver: deliver, events: events,
-		onRollouts: func([]rollout.Standing) {},
+		onRollouts: func([]rollout.Status) {},
 		onSuspects: func([]quarantine.Record, func(quarantine.Fingerprint) bool) {}, quarantined: map[quarantine.Fingerprint]bool{},
 	}
 }
@@ -95,11 +95,11 @@
 			nextTick = l.now() + l.tickPeriod()
 		}
 		// Other hosts are notified of a quarantined request before its caller is.
-		if changes := l.sched.SuspectNews(l.now()); len(changes) > 0 {
+		if changes := l.sched.TakeSuspectChanges(l.now()); len(changes) > 0 {
 			lifted := l.logSuspects(changes)
 			l.onSuspects(changes, func(f quarantine.Fingerprint) bool { return lifted[f] })
 		}
-		if steps := l.sched.RolloutNews(); len(steps) > 0 {
+		if steps := l.sched.TakeRolloutSteps(); len(steps) > 0 {
 			l.logRollouts(steps)
 			l.onRollouts(steps)
 		}
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -15,10 +15,10 @@
 // request. So a new home knows every notice that a requesting host knows; the newest notice
 // of a server applies.
 
-// Hear processes the notice of a server in an answer that this host received. It returns the
-// change, if there is one.
-func (c *Client) Hear(server string, n notice.Notice) (change notice.Change, changed bool) {
-	change, changed = c.notices.Hear(time.Now(), server, n)
+// RecordNotice processes the notice of a server in an answer that this host received. It returns
+// the change, if there is one.
+func (c *Client) RecordNotice(server string, n notice.Notice) (change notice.Change, changed bool) {
+	change, changed = c.notices.Update(time.Now(), server, n)
 	if !changed {
 		return change, false
 	}
@@ -34,7 +34,7 @@
 func (c *Client) forwardNotice(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	records := []notice.Record{c.notices.Of(server).Record(server, time.Now())}
+	records := []notice.Record{c.notices.Get(server).Record(server, time.Now())}
 	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.LearnNotices(at, uint64(c.self), records)
 		return nil
@@ -44,8 +44,8 @@
 	}
 }
 
-// Heard returns the newest notice that this host has received from a server.
-func (c *Client) Heard(server string) notice.Standing { return c.notices.Of(server) }
+// ServerNotice returns the newest notice that this host has received from a server.
+func (c *Client) ServerNotice(server string) notice.State { return c.notices.Get(server) }
 
 // sendNotices sends notices to a home. It aborts the link if that fails, since whoever places
 // for this host must respect the notices that it has received.
@@ -61,14 +61,14 @@
 		if limit, changed := c.Limit(); changed {
 			l.events.Record(event.ServerLimit, event.Fields{Server: c.Server, Detail: limit + " reported by another host"})
 		}
-		if c.Leaves() {
+		if c.StartsLeaving() {
 			l.events.Record(event.ServerLeaves, event.Fields{Server: c.Server, Detail: "reported by another host"})
 		}
 	}
 }
 
-// KeepNotices removes the notices of servers for which listed has returned false for some time.
-func (c *Client) KeepNotices(listed func(server string) bool) {
+// RetainNotices removes the notices of servers for which listed has returned false for some time.
+func (c *Client) RetainNotices(listed func(server string) bool) {
 	c.notices.Retain(time.Now(), listed)
 }
 
@@ -79,7 +79,7 @@
 	out := make([]*wire.Notice, 0, len(records))
 	for _, r := range records {
 		out = append(out, &wire.Notice{
-			Server: r.Server, AgeMs: millis(r.Age), Limited: r.Limit.Named, Limit: r.Limit.PerSecond, Leaving: r.Leaving, RestMs: millis(r.Rest + time.Millisecond - 1),
+			Server: r.Server, AgeMs: millis(r.Age), Limited: r.Limit.Valid, Limit: r.Limit.PerSecond, Leaving: r.Leaving, RestMs: millis(r.Backoff + time.Millisecond - 1),
 		})
 	}
 	return out
@@ -90,7 +90,7 @@
 	for _, m := range list {
 		out = append(out, notice.Record{
 			Server: m.Server, Age: fromMillis(m.AgeMs),
-			Notice: notice.Notice{Limit: notice.Limit{Named: m.Limited, PerSecond: m.Limit}, Leaving: m.Leaving, Rest: fromMillis(m.RestMs)},
+			Notice: notice.Notice{Limit: notice.Limit{Valid: m.Limited, PerSecond: m.Limit}, Leaving: m.Leaving, Backoff: fromMillis(m.RestMs)},
 		})
 	}
 	return out
--- a/internal/dispatch/notices_test.go
+++ b/internal/dispatch/notices_test.go
@@ -14,21 +14,21 @@
 )
 
 func limitNotice(perSecond float64) notice.Notice {
-	return notice.Notice{Limit: notice.Limit{Named: true, PerSecond: perSecond}}
+	return notice.Notice{Limit: notice.Limit{Valid: true, PerSecond: perSecond}}
 }
 
 // countLimits returns the number of servers for which a loop knows a rate limit.
 func countLimits(l *Loop) (n int) {
-	l.Query(context.Background(), func(s *sched.Scheduler) { n = s.Limited() })
+	l.Query(context.Background(), func(s *sched.Scheduler) { n = s.LimitedServers() })
 	return n
 }
 
 var _ = Describe("a server notice", func() {
 	It("is applied by the host that receives it", func() {
 		c, loop := startHost(neverLeaving, "a", "b")
-		c.Hear("a", limitNotice(1))
+		c.RecordNotice("a", limitNotice(1))
 		Expect(countLimits(loop)).To(Equal(1))
-		c.Hear("a", notice.Notice{})
+		c.RecordNotice("a", notice.Notice{})
 		Expect(countLimits(loop)).To(BeZero())
 	})
 
@@ -37,7 +37,7 @@
 	It("is forwarded in its newest version", func() {
 		c, loop := startHost(neverLeaving, "a")
 		for _, said := range []notice.Notice{limitNotice(1), {}} {
-			c.notices.Hear(time.Now(), "a", said)
+			c.notices.Update(time.Now(), "a", said)
 		}
 		c.forwardNotice("a") // for the second answer
 		c.forwardNotice("a") // for the first
@@ -48,7 +48,7 @@
 	// itself, or by none.
 	It("reaches a home before any placement request, and again when it has changed", func() {
 		c, _ := startHost(neverLeaving, "a")
-		c.Hear("b", limitNotice(1))
+		c.RecordNotice("b", limitNotice(1))
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { _, running := c.Pending(); return running }).Should(Equal(1))
 		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
@@ -56,9 +56,9 @@
 		first := l.out.Drain(nil)[0]
 		Expect(decodeNotices(first.Notices)).To(ConsistOf(HaveField("Notice", limitNotice(1))))
 		l.out.Drain(nil)
-		c.Hear("b", limitNotice(1))
+		c.RecordNotice("b", limitNotice(1))
 		Expect(l.out.Drain(nil)).To(BeEmpty())
-		c.Hear("b", limitNotice(2))
+		c.RecordNotice("b", limitNotice(2))
 		Expect(decodeNotices(l.out.Drain(nil)[0].Notices)).To(ConsistOf(HaveField("Notice", limitNotice(2))))
 	})
 
@@ -69,11 +69,11 @@
 		c.follow(l)
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
-		c.Hear("a", notice.Notice{Leaving: true})
+		c.RecordNotice("a", notice.Notice{Leaving: true})
 		l.out.Drain(nil)
 		c.deliver([]sched.Decision{{Key: sched.Key{Holder: self, ID: 1}, Server: "a", Address: "a"}}, l)
 		said := l.out.Drain(nil)
-		Expect(said[0].Outcomes[0].Result).To(Equal(uint32(sched.Gone)))
+		Expect(said[0].Outcomes[0].Result).To(Equal(uint32(sched.Replaced)))
 		Expect(said[1].Asks).To(HaveLen(1))
 	})
 
@@ -86,11 +86,11 @@
 		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
 		l.out.Drain(nil)
-		c.Hear("a", notice.Notice{Rest: time.Second})
+		c.RecordNotice("a", notice.Notice{Backoff: time.Second})
 		c.deliver([]sched.Decision{{Key: sched.Key{Holder: self, ID: 1}, Server: "a", Address: "a"}}, l)
 		said := l.out.Drain(nil)
 		Expect(said).To(HaveLen(3))
-		Expect(decodeNotices(said[0].Notices)[0].Rest).To(Equal(time.Second))
+		Expect(decodeNotices(said[0].Notices)[0].Backoff).To(Equal(time.Second))
 		Expect(said[1].Outcomes[0].Result).To(Equal(uint32(sched.Unused)))
 		Expect(said[2].Asks).To(HaveLen(1))
 	})
--- a/internal/dispatch/ranking.go
+++ b/internal/dispatch/ranking.go
@@ -33,9 +33,9 @@
 // while no reader gets updates.
 const standbyCount = 10
 
-// StoreOrder lists the readers of the store followed by the standbys, and returns the number
+// StoreReaders lists the readers of the store followed by the standbys, and returns the number
 // of readers.
-func StoreOrder(members *member.Table) (list []member.Member, readers int) {
+func StoreReaders(members *member.Table) (list []member.Member, readers int) {
 	list = members.First(homeRankingKey, readerCount+standbyCount)
 	return list, min(readerCount, len(list))
 }
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -19,17 +19,17 @@
 // OnRollouts sets the function that receives the steps of the roll-outs that this host
 // carries out. It is called on the loop's goroutine and must not block. OnRollouts must be
 // called before Run.
-func (l *Loop) OnRollouts(onRollouts func([]rollout.Standing)) { l.onRollouts = onRollouts }
+func (l *Loop) OnRollouts(onRollouts func([]rollout.Status)) { l.onRollouts = onRollouts }
 
 // logRollouts records an event for each step.
-func (l *Loop) logRollouts(steps []rollout.Standing) {
+func (l *Loop) logRollouts(steps []rollout.Status) {
 	for _, r := range steps {
 		l.events.Record(event.RolloutStep, event.Fields{Service: r.Order.Service, Detail: describe(r)})
 	}
 }
 
 // describe formats the state of a roll-out for logs.
-func describe(r rollout.Standing) string {
+func describe(r rollout.Status) string {
 	text := fmt.Sprintf("to=%s phase=%s why=%q reached=%.0f tried=%.0f answers=%d bad=%d", r.Order.To, r.Phase, r.Why, r.Reached, r.Tried, r.Answers, r.Bad)
 	for _, route := range slices.Sorted(maps.Keys(r.Routes)) {
 		count := r.Routes[route]
@@ -38,8 +38,8 @@
 	return text
 }
 
-// TellRollouts sends the progress of roll-outs to the linked hosts, if this host leads.
-func (h *Home) TellRollouts(steps []rollout.Standing) {
+// SendRollouts sends the progress of roll-outs to the linked hosts, if this host leads.
+func (h *Home) SendRollouts(steps []rollout.Status) {
 	if !h.leads.Load() {
 		return
 	}
@@ -57,13 +57,13 @@
 		return
 	}
 	h.loop.Do(func(_ sched.Time, s *sched.Scheduler) {
-		if known := s.Settled(); len(known) > 0 {
+		if known := s.OrderPhases(); len(known) > 0 {
 			l.send(&wire.ToHolder{Rollouts: encodeRollouts(known)})
 		}
 	})
 }
 
-func encodeRollouts(list []rollout.Standing) []*wire.Rollout {
+func encodeRollouts(list []rollout.Status) []*wire.Rollout {
 	out := make([]*wire.Rollout, 0, len(list))
 	for _, r := range list {
 		out = append(out, &wire.Rollout{Service: r.Order.Service, To: r.Order.To, Row: r.Order.Row, Phase: string(r.Phase)})
@@ -80,7 +80,7 @@
 	defer c.mu.Unlock()
 	c.pushLocal(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
 		for _, r := range list {
-			s.SettleOrder(rollout.Order{Service: r.Service, To: r.To, Row: r.Row}, rollout.Phase(r.Phase))
+			s.SetOrderPhase(rollout.Order{Service: r.Service, To: r.To, Row: r.Row}, rollout.Phase(r.Phase))
 		}
 		return nil
 	})
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -41,7 +41,7 @@
 			Cleared: r.Cleared, ClearedMs: millis(r.ClearedAge),
 		}
 		for _, e := range r.Ends {
-			m.Ends = append(m.Ends, &wire.ServerEnd{Server: e.Server, AgoMs: millis(e.Age), Shown: e.Shown, Distinct: e.Distinct})
+			m.Ends = append(m.Ends, &wire.ServerEnd{Server: e.Server, AgoMs: millis(e.Age), Shown: e.EventSeen, Distinct: e.Distinct})
 		}
 		out = append(out, m)
 	}
@@ -52,22 +52,22 @@
 	out := make([]quarantine.Record, 0, len(list))
 	for _, m := range list {
 		r := quarantine.Record{
-			Fingerprint: quarantine.FromBytes(m.Fingerprint), Account: m.Account, Service: m.Service,
+			Fingerprint: quarantine.FingerprintFromBytes(m.Fingerprint), Account: m.Account, Service: m.Service,
 			Quarantined: m.Quarantined, Age: fromMillis(m.QuarantinedMs), RetryIn: fromMillis(m.RetryMs), By: m.By,
 			Cleared: m.Cleared, ClearedAge: fromMillis(m.ClearedMs),
 		}
 		for _, e := range m.Ends {
-			r.Ends = append(r.Ends, quarantine.End{Server: e.Server, Age: fromMillis(e.AgoMs), Shown: e.Shown, Distinct: e.Distinct})
+			r.Ends = append(r.Ends, quarantine.ServerEnd{Server: e.Server, Age: fromMillis(e.AgoMs), EventSeen: e.Shown, Distinct: e.Distinct})
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// TellSuspects sends changed records to the linked hosts, if this host leads: all of them to
+// SendSuspects sends changed records to the linked hosts, if this host leads: all of them to
 // the hosts that may take over, and to the others those that are urgent or have left
 // quarantine.
-func (h *Home) TellSuspects(records []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
+func (h *Home) SendSuspects(records []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
 	if !h.leads.Load() {
 		return
 	}
@@ -122,9 +122,9 @@
 // learnLoss records a run that was lost with its server in this host's own table as well. The
 // caller holds mu.
 func (c *Client) learnLoss(p *pending, shown bool) {
-	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, Shown: shown}
+	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, EventSeen: shown}
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
-		s.LearnLoss(now, loss)
+		s.RecordLoss(now, loss)
 		return nil
 	})
 }
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -12,8 +12,8 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Head is the information in the header of a caller's request.
-type Head struct {
+// RequestHead is the information in the header of a caller's request.
+type RequestHead struct {
 	ID           string        // of this attempt by the caller
 	Deadline     time.Duration // how long the caller waits, 0 if not given
 	Key          string        // of the client account
@@ -34,8 +34,8 @@
 	LastEvent string        // resume after this event; empty: as the caller sent it
 }
 
-// Answer is the information in the header of a backend server's answer.
-type Answer struct {
+// AnswerHead is the information in the header of a backend server's answer.
+type AnswerHead struct {
 	ID     string // of the answered request, empty if not given
 	NotRun bool   // the server states that it did not run the request
 	Sealed bool   // has the server's own signature
@@ -45,12 +45,12 @@
 // Dialect reads and writes the header fields of the platform.
 type Dialect interface {
 	// ReadRequest reads a caller's header. Fields that cannot be parsed count as not given.
-	ReadRequest(h http.Header) Head
+	ReadRequest(h http.Header) RequestHead
 	// WriteRequest converts a caller's header to one for a backend server.
 	WriteRequest(caller http.Header, s ServerHead) http.Header
 	// ReadAnswer reads a backend server's header. Fields of its notice that cannot be
 	// parsed count as not given.
-	ReadAnswer(h http.Header) Answer
+	ReadAnswer(h http.Header) AnswerHead
 	// WriteAnswer sets the request's id in the header of an answer that this host generates.
 	WriteAnswer(h http.Header, id string)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -19,16 +19,16 @@
 	"github.com/gentianflow/gentianflow/internal/upstream"
 )
 
-// Places provides placements: permissions to send a request once to a server.
-type Places interface {
-	Acquire(ctx context.Context, ask *dispatch.Ask) (dispatch.Place, error)
+// Placer provides placements: permissions to send a request once to a server.
+type Placer interface {
+	Acquire(ctx context.Context, ask *dispatch.PlacementRequest) (dispatch.Placement, error)
 	Finish(id uint64, result sched.Result, timeToFirst, tokenTime time.Duration)
-	Blame(server string)
+	RecordServerFault(server string)
 	OnRevoke(id uint64, f func(*dispatch.Refused))
-	// Hear records the notice in a server's answer, Heard returns what a server has stated
-	// so far.
-	Hear(server string, n notice.Notice) (change notice.Change, changed bool)
-	Heard(server string) notice.Standing
+	// RecordNotice records the notice in a server's answer, ServerNotice returns what a server has
+	// stated so far.
+	RecordNotice(server string, n notice.Notice) (change notice.Change, changed bool)
+	ServerNotice(server string) notice.State
 }
 
 const (
@@ -51,10 +51,10 @@
 	shutdownRetryAfter = 50 * time.Millisecond
 )
 
-// Sources are the dependencies of a Handler.
-type Sources struct {
+// Dependencies are the dependencies of a Handler.
+type Dependencies struct {
 	Routes  *routing.Current
-	Places  Places
+	Places  Placer
 	Pool    *upstream.Pool
 	Dialect Dialect
 	Events  *event.Recorder
@@ -63,14 +63,14 @@
 
 // Handler is the HTTP handler for callers.
 type Handler struct {
-	Sources
+	Dependencies
 	leaving atomic.Bool  // answers close their connections
 	closed  atomic.Bool  // new requests are refused
 	active  atomic.Int64 // requests without a final answer
 }
 
 // NewHandler returns a handler for callers.
-func NewHandler(src Sources) *Handler { return &Handler{Sources: src} }
+func NewHandler(src Dependencies) *Handler { return &Handler{Dependencies: src} }
 
 // Leave makes answers close their connections, so that callers look up another host.
 func (h *Handler) Leave() { h.leaving.Store(true) }
@@ -97,7 +97,7 @@
 	h       *Handler
 	w       http.ResponseWriter
 	r       *http.Request
-	head    Head
+	head    RequestHead
 	arrived time.Time
 
 	route       *routing.Route
@@ -107,17 +107,17 @@
 	body        []byte
 	fingerprint quarantine.Fingerprint // zero until the request is admitted
 
-	sends         int            // to servers, whether they ran the request or not
-	runs          int            // sends after which the request may have run
-	tried         []string       // servers not to be tried again
-	isRetry       bool           // the request was sent before
-	errorServer   string         // the server that sent errorAnswer
-	placement     dispatch.Place // the newest one
-	serverNotice  string         // the notice of its server at the time of the send, for the log
-	errorAnswer   *answer        // a server's error, forwarded if no other server answers
-	waited        time.Duration  // for placements
-	refusalDetail string         // the scheduler's detail of a refusal, for the log
-	timeToFirst   time.Duration  // from the newest send to its first event or complete answer
+	sends         int                // to servers, whether they ran the request or not
+	runs          int                // sends after which the request may have run
+	tried         []string           // servers not to be tried again
+	isRetry       bool               // the request was sent before
+	errorServer   string             // the server that sent errorAnswer
+	placement     dispatch.Placement // the newest one
+	serverNotice  string             // the notice of its server at the time of the send, for the log
+	errorAnswer   *answer            // a server's error, forwarded if no other server answers
+	waited        time.Duration      // for placements
+	refusalDetail string             // the scheduler's detail of a refusal, for the log
+	timeToFirst   time.Duration      // from the newest send to its first event or complete answer
 	stream        stream
 }
 
@@ -170,7 +170,7 @@
 	if err := x.readBody(table.MaxBody); err != nil {
 		return err
 	}
-	x.fingerprint = quarantine.Of(x.r.Method, x.r.Host, x.r.RequestURI, x.callerName(), x.body)
+	x.fingerprint = quarantine.NewFingerprint(x.r.Method, x.r.Host, x.r.RequestURI, x.callerName(), x.body)
 	return nil
 }
 
@@ -228,12 +228,12 @@
 }
 
 // placementRequest describes the request to the scheduler.
-func (x *exchange) placementRequest() *dispatch.Ask {
-	a := &dispatch.Ask{
+func (x *exchange) placementRequest() *dispatch.PlacementRequest {
+	a := &dispatch.PlacementRequest{
 		Request: x.head.ID, Service: x.service, Priority: priority(x.route, x.account),
-		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), Parts: x.head.Parts,
-		Arrived: x.arrived, Aim: x.arrived.Add(x.route.Aim), Deadline: x.deadline,
-		MaxPause: x.route.GapAim, Repeat: x.isRetry, Avoid: x.tried, Fingerprint: x.fingerprint,
+		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), PromptParts: x.head.Parts,
+		Arrived: x.arrived, LatencyTarget: x.arrived.Add(x.route.LatencyTarget), Deadline: x.deadline,
+		MaxPause: x.route.EventGapTarget, Repeat: x.isRetry, Avoid: x.tried, Fingerprint: x.fingerprint,
 		Route: x.route.Name, Repeatable: x.route.Repeatable(),
 	}
 	if x.account != nil {
@@ -245,11 +245,11 @@
 	now := time.Now()
 	since := x.arrived
 	if x.stream.events > 0 {
-		a.Aim = now // the caller waits for the next event
+		a.LatencyTarget = now // the caller waits for the next event
 		since = x.stream.newestAt
 	}
-	if x.route.Patience > 0 {
-		a.LeavesAt = since.Add(x.route.Patience)
+	if x.route.CallerTimeout > 0 {
+		a.CallerTimeoutAt = since.Add(x.route.CallerTimeout)
 	}
 	return a
 }
@@ -263,7 +263,7 @@
 // third less of the urgent requests were then in time.
 func priority(r *routing.Route, a *routing.Account) int {
 	accountPriority := r.Priority
-	if a != nil && a.Ranked {
+	if a != nil && a.HasPriority {
 		accountPriority = a.Priority
 	}
 	return accountPriority*routePriorityLevels + min(r.Priority, routePriorityLevels-1)
@@ -277,7 +277,7 @@
 	case x.head.HasTokens:
 		return x.head.PromptTokens + x.head.OutputTokens
 	}
-	return x.account.PlainUnits
+	return x.account.DefaultUnits
 }
 
 // expectedOutput returns the caller's estimate of the output tokens, capped at its maximum.
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -117,7 +117,7 @@
 func (x *exchange) recordEvent(code event.Code, detail string) {
 	f := event.Fields{Request: x.head.ID, Service: x.service, Server: x.placement.Server, Detail: detail}
 	if x.route != nil {
-		f.Detail += " route=" + x.route.Name + " aim=" + milliseconds(x.route.Aim)
+		f.Detail += " route=" + x.route.Name + " aim=" + milliseconds(x.route.LatencyTarget)
 	}
 	if x.account != nil {
 		f.Detail += " account=" + x.account.Name + " units=" + strconv.Itoa(x.units())
@@ -137,16 +137,16 @@
 		f.Detail += " " + x.refusalDetail
 	}
 	if x.stream.events > 1 {
-		f.Detail += " pause=" + milliseconds(x.stream.maxPause) + " most=" + milliseconds(x.route.GapAim)
+		f.Detail += " pause=" + milliseconds(x.stream.maxPause) + " most=" + milliseconds(x.route.EventGapTarget)
 	}
 	x.h.Events.Record(code, f)
 }
 
 // placementFields formats which host gave a placement and how old this host's list of
 // servers was.
-func placementFields(p dispatch.Place) string {
+func placementFields(p dispatch.Placement) string {
 	by := "home"
-	if p.Alone {
+	if p.Local {
 		by = "self"
 	}
 	return "placed=" + by + " list=" + milliseconds(p.ListAge)
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -9,7 +9,7 @@
 
 // recordNotice records the notice in a server's answer and the events of its changes.
 func (x *exchange) recordNotice(server string, n notice.Notice) {
-	change, changed := x.h.Places.Hear(server, n)
+	change, changed := x.h.Places.RecordNotice(server, n)
 	if !changed {
 		return
 	}
@@ -18,22 +18,22 @@
 		f.Detail = limit
 		x.h.Events.Record(event.ServerLimit, f)
 	}
-	if change.Leaves() {
+	if change.StartsLeaving() {
 		f.Detail = "in an answer to this host"
 		x.h.Events.Record(event.ServerLeaves, f)
 	}
 }
 
 // noticeFields formats a server's notice for the events of requests.
-func noticeFields(now time.Time, s notice.Standing) string {
+func noticeFields(now time.Time, s notice.State) string {
 	text := ""
-	if s.Limit.Named {
+	if s.Limit.Valid {
 		text += " limit=" + s.Limit.String()
 	}
 	if s.Leaving {
 		text += " leaving"
 	}
-	if backoff := s.Rest(now); backoff > 0 {
+	if backoff := s.Backoff(now); backoff > 0 {
 		text += " rests=" + milliseconds(backoff)
 	}
 	if text != "" {
--- a/internal/entry/priority_test.go
+++ b/internal/entry/priority_test.go
@@ -16,8 +16,8 @@
 
 var _ = Describe("the priority of a request", func() {
 	urgent, bulk := &routing.Route{Priority: 0}, &routing.Route{Priority: 2}
-	first := &routing.Account{Priority: 0, Ranked: true}
-	second := &routing.Account{Priority: 1, Ranked: true}
+	first := &routing.Account{Priority: 0, HasPriority: true}
+	second := &routing.Account{Priority: 1, HasPriority: true}
 	plain := &routing.Account{}
 
 	// If only the account's priority counted, all requests of accounts with the same
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -52,7 +52,7 @@
 // attempt is one send of a request to one server.
 type attempt struct {
 	x               *exchange
-	placement       dispatch.Place
+	placement       dispatch.Placement
 	conn            *upstream.Conn
 	stopCallerWatch func() bool // stops closing conn when the caller leaves or the deadline passes
 	sent            time.Time
@@ -74,21 +74,21 @@
 
 // try sends the request to a server and handles the answer. Requests reach servers only
 // through it.
-func (x *exchange) try(ctx context.Context, placement dispatch.Place) nextStep {
+func (x *exchange) try(ctx context.Context, placement dispatch.Placement) nextStep {
 	t := &attempt{x: x, placement: placement}
 	if callerDisconnected(x.r.Context()) {
 		x.h.Places.Finish(placement.ID, sched.Unused, 0, 0)
 		x.recordEvent(event.RequestLeft, "before the request was sent")
 		return done
 	}
-	dialCtx, cancel := context.WithTimeout(ctx, min(maxDialTimeout, max(minDialTimeout, x.route.Aim/2)))
+	dialCtx, cancel := context.WithTimeout(ctx, min(maxDialTimeout, max(minDialTimeout, x.route.LatencyTarget/2)))
 	conn, err := x.h.Pool.Get(dialCtx, t.server())
 	cancel()
 	if err != nil {
 		return t.handleUnreachable(ctx, err)
 	}
 	t.conn = conn
-	if state := x.h.Places.Heard(placement.Server); state.Leaving || state.Rest(time.Now()) > 0 {
+	if state := x.h.Places.ServerNotice(placement.Server); state.Leaving || state.Backoff(time.Now()) > 0 {
 		return t.returnPlacement(state)
 	}
 	// A server continues a request until its connection closes, so the connection is
@@ -102,12 +102,12 @@
 //
 // Between a placement and its use there is time for a dial and for other answers of the
 // same server, which may have announced that it leaves or asked for backoff.
-func (t *attempt) returnPlacement(state notice.Standing) nextStep {
+func (t *attempt) returnPlacement(state notice.State) nextStep {
 	x := t.x
 	t.conn.Close()
 	result := sched.Unused
 	if state.Leaving {
-		result = sched.Gone
+		result = sched.Replaced
 	}
 	x.h.Places.Finish(t.placement.ID, result, 0, 0)
 	x.tried = append(x.tried, t.placement.Server)
@@ -150,7 +150,7 @@
 func (t *attempt) run(ctx context.Context) nextStep {
 	x := t.x
 	t.sent = time.Now()
-	x.serverNotice = noticeFields(t.sent, x.h.Places.Heard(t.placement.Server))
+	x.serverNotice = noticeFields(t.sent, x.h.Places.ServerNotice(t.placement.Server))
 	sent, err := t.conn.Send(x.request(t.placement, t.sent), x.deadline)
 	if !sent && err != nil && !t.conn.Reused() {
 		t.conn.Close()
@@ -177,7 +177,7 @@
 }
 
 // request builds the request to the server.
-func (x *exchange) request(placement dispatch.Place, now time.Time) *upstream.Request {
+func (x *exchange) request(placement dispatch.Placement, now time.Time) *upstream.Request {
 	s := ServerHead{Deadline: x.deadline.Sub(now), Instance: placement.Server, LastEvent: x.stream.lastID}
 	if x.account != nil {
 		s.Account, s.HideKey = x.account.Name, true
@@ -200,13 +200,13 @@
 	x := t.x
 	head := x.h.Dialect.ReadAnswer(resp.Header)
 	if !mayAskBackoff(resp.StatusCode) {
-		head.Notice.Rest = 0
+		head.Notice.Backoff = 0
 	}
 	if resp.StatusCode != http.StatusMisdirectedRequest { // else another server incarnation answered
 		x.recordNotice(t.placement.Server, head.Notice)
 	}
 	if head.NotRun {
-		return t.handleNotRun(resp, head.Notice.Rest)
+		return t.handleNotRun(resp, head.Notice.Backoff)
 	}
 	if resp.StatusCode < 300 && !head.Sealed {
 		return t.handleLost(ctx, errUnsigned)
@@ -229,7 +229,7 @@
 	}
 	x.h.Places.Finish(t.placement.ID, sched.OK, t.timeToFirst, 0)
 	if x.errorServer != "" {
-		x.h.Places.Blame(x.errorServer)
+		x.h.Places.RecordServerFault(x.errorServer)
 	}
 	x.forwardAnswer(a)
 	return done
@@ -247,7 +247,7 @@
 	x.runs--
 	result := sched.Rejected
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		result = sched.Gone
+		result = sched.Replaced
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err == nil {
 		t.release(resp)
@@ -270,9 +270,9 @@
 // handleServerError handles an error status of a server. A safe request tries another one.
 func (t *attempt) handleServerError(a *answer) nextStep {
 	x := t.x
-	result := sched.Errored
+	result := sched.ServerError
 	if x.route.Kind == routing.Safe {
-		result = sched.Unblamed
+		result = sched.UnattributedError
 	}
 	x.h.Places.Finish(t.placement.ID, result, t.timeToFirst, 0)
 	x.tried = append(x.tried, t.placement.Server)
@@ -296,12 +296,12 @@
 		x.h.Pool.CloseIdle(t.server())
 	}
 	if x.r.Context().Err() != nil {
-		x.h.Places.Finish(t.placement.ID, sched.Left, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
 		x.recordEvent(event.RequestLeft, "while the request ran")
 		return done
 	}
 	if ctx.Err() != nil || !time.Now().Before(x.deadline) {
-		result := sched.Left
+		result := sched.CallerLeft
 		if x.stream.events == 0 {
 			result = sched.Broken // nothing arrived before the deadline
 		}
@@ -311,14 +311,14 @@
 		return done
 	}
 	if t.phase.Load() == revoked {
-		x.h.Places.Finish(t.placement.ID, sched.Left, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
 		x.giveUp(ctx, t.revocation)
 		return done
 	}
 	x.tried = append(x.tried, t.placement.Server)
 	x.recordEvent(event.ServerLost, err.Error()+" events="+strconv.Itoa(x.stream.events))
 	if t.phase.Load() == stalled {
-		x.h.Places.Finish(t.placement.ID, sched.Silent, 0, 0)
+		x.h.Places.Finish(t.placement.ID, sched.Unresponsive, 0, 0)
 	} else {
 		go t.reportBroken()
 	}
@@ -349,7 +349,7 @@
 		x.h.Places.Finish(t.placement.ID, sched.Broken, timeToFirst, 0)
 		return
 	}
-	x.h.Places.Finish(t.placement.ID, sched.Ended, timeToFirst, 0)
+	x.h.Places.Finish(t.placement.ID, sched.ServerEnded, timeToFirst, 0)
 	x.h.Meter.ServerEnded()
 	x.h.Events.Record(event.ServerEnded, event.Fields{
 		Request: x.head.ID, Service: x.service, Server: t.placement.Server,
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -190,8 +190,8 @@
 	d.at(leaves, func(now time.Duration) { d.leave(now, id) })
 	out, _ := d.s.Submit(now, sched.Request{
 		Key: sched.Key{Holder: holder, ID: id}, Service: service, Priority: kind.Priority,
-		PromptTokens: r.prompt, OutputTokens: r.hint, Arrived: now, Aim: now + kind.Aim,
-		LeavesAt: leaves, Deadline: deadline, MaxPause: kind.MaxPause,
+		PromptTokens: r.prompt, OutputTokens: r.hint, Arrived: now, LatencyTarget: now + kind.Aim,
+		CallerTimeoutAt: leaves, Deadline: deadline, MaxPause: kind.MaxPause,
 	})
 	d.apply(now, out)
 }
@@ -290,13 +290,13 @@
 	if now <= r.started+kind.Deadline {
 		out.whole = append(out.whole, r.size())
 	}
-	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: r.first}
+	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, FirstEvent: r.first}
 	if now > r.started+kind.Deadline {
-		o.Result = sched.Left
+		o.Result = sched.CallerLeft
 	}
 	if r.events > 2 {
 		stride := d.load.Engines[0].Stride
-		o.Pace = (now - r.placed - r.first) / time.Duration((r.events-1)*stride)
+		o.TokenTime = (now - r.placed - r.first) / time.Duration((r.events-1)*stride)
 	}
 	d.apply(now, d.s.Finish(now, o))
 }
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -201,7 +201,7 @@
 		d.start(true)
 	}
 	d.list(now)
-	o := rollout.Order{Service: service, To: "v2", Lasts: d.r.Lasts, Row: 1}
+	o := rollout.Order{Service: service, To: "v2", Timeout: d.r.Lasts, Row: 1}
 	d.at(now+200*time.Millisecond, func(time.Duration) { d.s.SetOrder(o) })
 	d.at(now+250*time.Millisecond, func(now time.Duration) { d.s.StartTrial(now, o, 250*time.Millisecond, false) })
 }
@@ -231,7 +231,7 @@
 		if srv.gone || d.rng.Float64() >= d.r.Crash {
 			continue
 		}
-		d.stop(now, srv, sched.Ended)
+		d.stop(now, srv, sched.ServerEnded)
 		isNew := srv.isNew
 		d.at(now+2*time.Second, func(now time.Duration) {
 			if !d.over {
@@ -269,14 +269,14 @@
 
 // news takes the steps of the roll-out.
 func (d *rolloutDay) news(now time.Duration) {
-	for _, step := range d.s.RolloutNews() {
-		if d.over || step.Phase != rollout.Moved && step.Phase != rollout.TakenBack {
+	for _, step := range d.s.TakeRolloutSteps() {
+		if d.over || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
 			continue
 		}
 		d.over = true
 		d.out.At, d.out.Why, d.out.Bad = now-orderAt, step.Why, d.bad
 		d.out.State = rollout.Completed
-		if step.Phase == rollout.TakenBack {
+		if step.Phase == rollout.PhaseRolledBack {
 			d.out.State = rollout.RolledBack
 		}
 		d.at(now+storeTime, d.written)
@@ -318,8 +318,8 @@
 	id := d.next
 	d.open[id] = &rolloutRun{route: route}
 	out, _ := d.s.Submit(now, sched.Request{
-		Key: sched.Key{Holder: holder, ID: id}, Service: service, Arrived: now, Aim: now + 150*time.Millisecond,
-		Deadline: now + time.Second, Route: rolloutRoutes[route].name, Repeatable: rolloutRoutes[route].repeatable,
+		Key: sched.Key{Holder: holder, ID: id}, Service: service, Arrived: now, LatencyTarget: now + 150*time.Millisecond,
+		Deadline: now + time.Second, Route: rolloutRoutes[route].name, Interruptible: rolloutRoutes[route].repeatable,
 	})
 	d.apply(now, out)
 }
@@ -387,11 +387,11 @@
 			d.fifty = now
 		}
 	}
-	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: took}
+	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, FirstEvent: took}
 	if fails {
-		o.Result = sched.Errored
+		o.Result = sched.ServerError
 		if rolloutRoutes[run.route].repeatable {
-			o.Result = sched.Unblamed
+			o.Result = sched.UnattributedError
 		}
 	}
 	d.apply(now, d.s.Finish(now, o))
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -83,16 +83,16 @@
 	return line, decoder.Err() == nil && line.Name != "" && !line.At.IsZero()
 }
 
-// Story holds the log lines about one request, in order of time.
-type Story struct {
+// RequestHistory holds the log lines about one request, in order of time.
+type RequestHistory struct {
 	Request []Line // of the request
 	Host    []Line // of its host and servers around that time
 	Ends    []Line // of servers that ended under the same request, whatever its id was
 }
 
 // Find collects the lines about a request. It fails with UnknownRequest when no line names it.
-func Find(lines []Line, request string) (Story, error) {
-	var story Story
+func Find(lines []Line, request string) (RequestHistory, error) {
+	var story RequestHistory
 	hosts, servers := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.Request == request {
@@ -176,7 +176,7 @@
 }
 
 // Cause returns the usual cause of the request's end, empty if its lines show no failure.
-func (s Story) Cause() string {
+func (s RequestHistory) Cause() string {
 	last := s.Request[len(s.Request)-1]
 	for _, c := range causes {
 		if strings.Contains(last.Detail, c.phrase) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -59,7 +59,7 @@
 		Expect(s.Cause()).To(ContainSubstring("more than its limit"))
 	})
 	DescribeTable("names the phase that took most of the time of an answer", func(detail, phrase string) {
-		s := Story{Request: []Line{{Name: "request_answered", Detail: detail}}}
+		s := RequestHistory{Request: []Line{{Name: "request_answered", Detail: detail}}}
 		Expect(s.Cause()).To(ContainSubstring(phrase))
 	},
 		Entry(nil, "200 waited=1.03s first=53ms after=1.083s", "waited for a place"),
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -24,8 +24,8 @@
 	LostAtServer Outcome = "lost at its server"
 )
 
-// Losses lists the outcomes in the order of their columns.
-var Losses = []Outcome{InTime, LateWait, LateFirst, LatePause, NoRoom, OverQuota, OtherRefusal, LostAtServer, CallerLeft, NotAllowed}
+// Outcomes lists the outcomes in the order of their columns.
+var Outcomes = []Outcome{InTime, LateWait, LateFirst, LatePause, NoRoom, OverQuota, OtherRefusal, LostAtServer, CallerLeft, NotAllowed}
 
 // Tally counts outcomes of requests.
 type Tally struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -170,23 +170,23 @@
 	n.quarantined = newQuarantineStore(n.settings.Host, n.platform.QuarantineTable, n.platform.Tables, n.platform.Writer, n.isHome, n.events)
 	n.loop.OnSuspects(n.publishSuspects)
 	n.rollouts = newRollouts(n.settings.Host+" "+n.incarnation.String(), n.platform, n.loop, func() bool { return n.home.Leads() }, n.events)
-	n.loop.OnRollouts(func(steps []rollout.Standing) {
-		n.home.TellRollouts(steps)
+	n.loop.OnRollouts(func(steps []rollout.Status) {
+		n.home.SendRollouts(steps)
 		n.rollouts.onSteps(steps)
 	})
 	n.loop.Do(func(_ sched.Time, s *sched.Scheduler) {
 		s.SetOwner(uint64(n.incarnation))
 		s.SetHost(n.settings.Host)
-		if n.settings.EntryLapse > 0 {
-			s.SetLapse(n.settings.EntryLapse)
+		if n.settings.EntryTTL > 0 {
+			s.SetEntryTTL(n.settings.EntryTTL)
 		}
-		s.SetBounds(n.settings.Rollouts)
+		s.SetBounds(n.settings.RolloutBounds)
 	})
 	n.home = dispatch.NewHome(n.loop, func() []uint64 { return dispatch.NextHomes(n.members) })
 	n.servers = newServers(n.platform.DecodeServer, n.events, n.applyServers)
 	n.client = dispatch.NewClient(n.incarnation, n.settings.AvailabilityZone, n.loop, n.servers, n.events)
 	n.follower = dispatch.NewFollower(n.client, n.members, n.peers, n.home, n.events, n.knownFleetSize, n.setShare)
-	n.entry = entry.NewHandler(entry.Sources{
+	n.entry = entry.NewHandler(entry.Dependencies{
 		Routes: &n.routes, Places: n.client, Pool: n.pool, Dialect: n.platform.Dialect,
 		Events: n.events, Meter: entry.NewMeter(n.metrics),
 	})
@@ -228,7 +228,7 @@
 // publishSuspects sends changed records of requests under which servers ended to the other
 // hosts and to the store.
 func (n *Node) publishSuspects(news []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
-	n.home.TellSuspects(news, lifted)
+	n.home.SendSuspects(news, lifted)
 	n.quarantined.applyChanges(news)
 }
 
@@ -302,7 +302,7 @@
 	n.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.SetServers(now, list) })
 	go func() {
 		n.pool.Retain(func(s upstream.Server) bool { return n.servers.hasAddress(s.ID, s.Address) })
-		n.client.KeepNotices(n.servers.contains)
+		n.client.RetainNotices(n.servers.contains)
 	}()
 }
 
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -47,13 +47,13 @@
 	mu          sync.Mutex
 	rowVersions map[string]int64 // by key, the newest version read of a row of the operator's table
 	orders      map[string]rollout.Order
-	outcomes    map[string]rollout.Standing // by service, how trials ended; not yet written
+	outcomes    map[string]rollout.Status // by service, how trials ended; not yet written
 }
 
 func newRollouts(host string, platform Platform, loop *dispatch.Loop, leads func() bool, events *event.Recorder) *rollouts {
 	return &rollouts{
 		host: host, platform: platform, loop: loop, leads: leads, events: events, wake: make(chan struct{}, 1),
-		handled: map[string]int64{}, rowVersions: map[string]int64{}, orders: map[string]rollout.Order{}, outcomes: map[string]rollout.Standing{},
+		handled: map[string]int64{}, rowVersions: map[string]int64{}, orders: map[string]rollout.Order{}, outcomes: map[string]rollout.Status{},
 	}
 }
 
@@ -80,11 +80,11 @@
 }
 
 // onSteps receives the progress of the scheduler's trials. It does not block.
-func (r *rollouts) onSteps(steps []rollout.Standing) {
+func (r *rollouts) onSteps(steps []rollout.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, step := range steps {
-		if step.Phase == rollout.Moved || step.Phase == rollout.TakenBack {
+		if step.Phase == rollout.Moved || step.Phase == rollout.PhaseRolledBack {
 			r.outcomes[step.Order.Service] = step
 		}
 	}
@@ -203,12 +203,12 @@
 	}
 	r.handled[o.Service] = o.Row
 	elapsed := storeNow - row.Begun()
-	r.events.Record(event.RolloutOrdered, event.Fields{Service: o.Service, Detail: "to " + o.To + " within " + (o.Lasts - elapsed).String()})
+	r.events.Record(event.RolloutOrdered, event.Fields{Service: o.Service, Detail: "to " + o.To + " within " + (o.Timeout - elapsed).String()})
 	r.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.StartTrial(now, o, elapsed, resumed) })
 }
 
 func (r *rollouts) settleOrder(o rollout.Order, p rollout.Phase) {
-	r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.SettleOrder(o, p) })
+	r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.SetOrderPhase(o, p) })
 }
 
 // write updates the scheduler's own row and the status shown to operators in one commit.
@@ -233,7 +233,7 @@
 // writeOutcomes writes how trials ended, and retries until the store has it.
 func (r *rollouts) writeOutcomes(ctx context.Context) {
 	r.mu.Lock()
-	unwritten := make([]rollout.Standing, 0, len(r.outcomes))
+	unwritten := make([]rollout.Status, 0, len(r.outcomes))
 	for _, standing := range r.outcomes {
 		unwritten = append(unwritten, standing)
 	}
@@ -254,7 +254,7 @@
 
 // writeOutcome writes how one trial ended. It reports whether nothing is left to do: the
 // outcome is written, or another host handles the order now.
-func (r *rollouts) writeOutcome(ctx context.Context, standing rollout.Standing, current store.Row) bool {
+func (r *rollouts) writeOutcome(ctx context.Context, standing rollout.Status, current store.Row) bool {
 	row, err := rollout.DecodeRow(current.Value)
 	if err != nil || row.Order != standing.Order.Row || row.By != r.host || row.Over() {
 		return true
@@ -263,7 +263,7 @@
 	return r.write(ctx, standing.Order, row, current.Version) == nil
 }
 
-func (r *rollouts) forgetOutcome(standing rollout.Standing) {
+func (r *rollouts) forgetOutcome(standing rollout.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if current, ok := r.outcomes[standing.Order.Service]; ok && current.Order.Row == standing.Order.Row {
@@ -283,9 +283,9 @@
 		return
 	}
 	for _, row := range rows {
-		if service, ok := rollout.WishOf(row.Key); ok {
-			wish := rollout.Wish(row.Value)
-			r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.Hold(service, wish) })
+		if service, ok := rollout.ServiceOfCommandKey(row.Key); ok {
+			wish := rollout.Command(row.Value)
+			r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.ApplyCommand(service, wish) })
 		}
 	}
 }
@@ -299,8 +299,8 @@
 	}
 	r.loop.Query(ctx, func(s *sched.Scheduler) {
 		for _, standing := range s.Rollouts() {
-			if isRunning(standing.Phase) && (d == 0 || standing.Order.Lasts < d) {
-				d = standing.Order.Lasts
+			if isRunning(standing.Phase) && (d == 0 || standing.Order.Timeout < d) {
+				d = standing.Order.Timeout
 			}
 		}
 	})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -61,7 +61,7 @@
 	n.tasks.Go(func() { n.peers.Serve(n.control) })
 	n.tasks.Go(func() { n.loop.Run(run) })
 	n.tasks.Go(func() { n.follower.Run(run) })
-	n.tasks.Go(func() { n.home.TeachNext(run) })
+	n.tasks.Go(func() { n.home.SendEstimates(run) })
 	n.tasks.Go(func() { n.join(run) })
 	n.tasks.Go(func() { n.quarantined.run(run) })
 	n.tasks.Go(func() { n.rollouts.run(run) })
@@ -116,7 +116,7 @@
 
 // Order implements store.Readers.
 func (t tableReaders) Order() store.Order {
-	list, readers := dispatch.StoreOrder(t.n.members)
+	list, readers := dispatch.StoreReaders(t.n.members)
 	o := store.Order{Readers: readers, Self: -1}
 	for i, m := range list {
 		if m.Incarnation == t.n.incarnation {
@@ -129,7 +129,7 @@
 
 // Open implements store.Readers.
 func (t tableReaders) Open(ctx context.Context, name string) (*peer.Stream, error) {
-	list, _ := dispatch.StoreOrder(t.n.members)
+	list, _ := dispatch.StoreReaders(t.n.members)
 	for _, m := range list {
 		if m.Incarnation.String() != name {
 			continue
@@ -223,7 +223,7 @@
 	notices := n.client.CountNotices()
 	gauge("servers_limited", int64(notices.Limited))
 	gauge("servers_leaving_by_answer", int64(notices.Leaving))
-	gauge("servers_resting", int64(notices.Resting))
+	gauge("servers_resting", int64(notices.BackingOff))
 	gauge("servers_list_age_ms", n.servers.Age().Milliseconds())
 	live := 0
 	for _, m := range n.members.All() {
@@ -240,7 +240,7 @@
 	n.loop.Query(r.Context(), func(s *sched.Scheduler) {
 		gauge("scheduler_waiting", int64(s.Waiting()))
 		gauge("scheduler_running", int64(s.Running()))
-		gauge("requests_in_quarantine", int64(s.Quarantined()))
+		gauge("requests_in_quarantine", int64(s.QuarantinedRequests()))
 		for _, standing := range s.Rollouts() {
 			prefix := "rollout." + standing.Order.Service + "." + standing.Order.To
 			gauge(prefix+".requests_to_service", int64(standing.Reached))
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -99,14 +99,14 @@
 		if !row.Deleted {
 			e.server, e.err = s.decode(row.Key, row.Value)
 		}
-		anyStartTime = anyStartTime || e.server.Born != 0
+		anyStartTime = anyStartTime || e.server.StartedMs != 0
 		entries[row.Key] = e
 	}
 	for _, srv := range s.known {
-		anyStartTime = anyStartTime || srv.Born != 0
+		anyStartTime = anyStartTime || srv.StartedMs != 0
 	}
 	for name, e := range entries {
-		if anyStartTime && !e.deleted && e.err == nil && e.server.Born == 0 {
+		if anyStartTime && !e.deleted && e.err == nil && e.server.StartedMs == 0 {
 			e.err = failure.New(failure.BadConfig, "entry of server %s has no start time, unlike other entries", name)
 			entries[name] = e
 		}
@@ -129,7 +129,7 @@
 	}
 	delete(s.gone, srv.ID)
 	if ok {
-		srv.ColdFor = current.ColdFor // the cold start counts from when the server was first seen
+		srv.WarmUp = current.WarmUp // the cold start counts from when the server was first seen
 	}
 	if !ok || current.Draining != srv.Draining {
 		s.events.Record(event.ServersChanged, event.Fields{Server: srv.ID, Service: srv.Service, Detail: describeState(srv)})
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -62,9 +62,9 @@
 	})
 
 	It("keeps the cold start time that was first reported", func() {
-		s.known["a"] = sched.Server{ID: "a", Address: "a", ColdFor: time.Second}
+		s.known["a"] = sched.Server{ID: "a", Address: "a", WarmUp: time.Second}
 		s.update(store.Update{Rows: rowsOf("a")})
-		Expect(s.known["a"].ColdFor).To(Equal(time.Second))
+		Expect(s.known["a"].WarmUp).To(Equal(time.Second))
 	})
 })
 
@@ -80,7 +80,7 @@
 		if _, err := fmt.Sscan(string(value), &born, &state); err != nil {
 			return sched.Server{}, failure.New(failure.BadConfig, "cannot be decoded")
 		}
-		return sched.Server{ID: fmt.Sprint(name, "@", born), Address: name, Born: born, Draining: state == "draining"}, nil
+		return sched.Server{ID: fmt.Sprint(name, "@", born), Address: name, StartedMs: born, Draining: state == "draining"}, nil
 	}
 	ids := func() []string {
 		var out []string
@@ -111,9 +111,9 @@
 	})
 
 	It("reset the cold start time when the server starts again", func() {
-		s.known["a"] = sched.Server{ID: "a@1", Address: "a", Born: 1, ColdFor: time.Second}
+		s.known["a"] = sched.Server{ID: "a@1", Address: "a", StartedMs: 1, WarmUp: time.Second}
 		s.update(store.Update{Rows: []store.Row{row("a", "2 ready")}})
-		Expect(s.known["a"].ColdFor).To(BeZero())
+		Expect(s.known["a"].WarmUp).To(BeZero())
 	})
 
 	// Another program writes into the table. If an entry that cannot be decoded left the
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -25,10 +25,10 @@
 	ProcessorShare   float64
 	MemoryBytes      int64
 	Grace            time.Duration // from SIGTERM to SIGKILL
-	// EntryLapse is the longest time that the store lists a server after it has ended; 0 means
+	// EntryTTL is the longest time that the store lists a server after it has ended; 0 means
 	// unknown.
-	EntryLapse time.Duration
-	// Rollouts bounds the share of requests that a version on trial may get.
-	Rollouts rollout.Bounds
-	Policy   sched.Policy
+	EntryTTL time.Duration
+	// RolloutBounds limits the share of requests that a version on trial may get.
+	RolloutBounds rollout.Bounds
+	Policy        sched.Policy
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -11,28 +11,28 @@
 type Notice struct {
 	Limit   Limit
 	Leaving bool // the server accepts no new requests
-	// Rest is the backoff that the server asks of the host that it rejected with this answer,
+	// Backoff is the time that the server asks of the host that it rejected with this answer,
 	// 0 for none.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
-// MaxRest is the longest backoff that is granted to a server.
-const MaxRest = 5 * time.Minute
+// MaxBackoff is the longest backoff that is granted to a server.
+const MaxBackoff = 5 * time.Minute
 
-// KeptUnlisted is how long the notice of an unlisted server is kept: it may arrive before
+// UnlistedRetention is how long the notice of an unlisted server is kept: it may arrive before
 // the server's entry in the server list, and that entry may lapse for a moment.
-const KeptUnlisted = time.Minute
+const UnlistedRetention = time.Minute
 
 // Limit is the rate of requests that a server accepts from all hosts together. The zero
 // value means no limit.
 type Limit struct {
-	Named     bool
+	Valid     bool
 	PerSecond float64
 }
 
 // String implements fmt.Stringer.
 func (l Limit) String() string {
-	if !l.Named {
+	if !l.Valid {
 		return "none"
 	}
 	return strconv.FormatFloat(l.PerSecond, 'g', 4, 64) + "/s"
@@ -56,5 +56,5 @@
 	return "limit=" + c.After.Limit.String() + " was=" + c.Before.Limit.String(), c.After.Limit != c.Before.Limit
 }
 
-// Leaves reports whether the server states for the first time that it is leaving.
-func (c Change) Leaves() bool { return c.After.Leaving && !c.Before.Leaving }
+// StartsLeaving reports whether the server states for the first time that it is leaving.
+func (c Change) StartsLeaving() bool { return c.After.Leaving && !c.Before.Leaving }
--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Standing is the current notice of a server and the time of its newest answer.
-type Standing struct {
-	Notice                 // without Rest
+// State is the current notice of a server and the time of its newest answer.
+type State struct {
+	Notice                 // its Backoff is 0, see BackoffUntil
 	ReceivedAt   time.Time // when the newest answer arrived
 	BackoffUntil time.Time // zero if the server has asked for no backoff
 }
 
-// Rest returns the remaining backoff that the server asked of this host.
-func (s Standing) Rest(now time.Time) time.Duration { return max(0, s.BackoffUntil.Sub(now)) }
+// Backoff returns the remaining backoff that the server asked of this host.
+func (s State) Backoff(now time.Time) time.Duration { return max(0, s.BackoffUntil.Sub(now)) }
 
 // Age returns the time since the server's newest answer.
-func (s Standing) Age(now time.Time) time.Duration { return now.Sub(s.ReceivedAt) }
+func (s State) Age(now time.Time) time.Duration { return now.Sub(s.ReceivedAt) }
 
-// Record returns the standing in the form that is sent to other hosts.
-func (s Standing) Record(server string, now time.Time) Record {
+// Record returns the state in the form that is sent to other hosts.
+func (s State) Record(server string, now time.Time) Record {
 	n := s.Notice
-	n.Rest = s.Rest(now)
+	n.Backoff = s.Backoff(now)
 	return Record{Server: server, Notice: n, Age: s.Age(now)}
 }
 
@@ -30,16 +30,16 @@
 // not in it. mu guards all fields.
 type Table struct {
 	mu      sync.Mutex
-	servers map[string]Standing
+	servers map[string]State
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{servers: map[string]Standing{}} }
+func NewTable() *Table { return &Table{servers: map[string]State{}} }
 
-// Hear records the notice in an answer. Leaving is permanent, since a leaving server does
+// Update records the notice in an answer. Leaving is permanent, since a leaving server does
 // not come back. A backoff is not shortened by a later one that ends sooner, nor ended by
 // answers to requests that were sent before it.
-func (t *Table) Hear(now time.Time, server string, n Notice) (c Change, changed bool) {
+func (t *Table) Update(now time.Time, server string, n Notice) (c Change, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.servers[server]
@@ -49,16 +49,16 @@
 		return c, false
 	}
 	backoffUntil := known.BackoffUntil
-	if until := now.Add(n.Rest); n.Rest > 0 && until.After(backoffUntil) {
+	if until := now.Add(n.Backoff); n.Backoff > 0 && until.After(backoffUntil) {
 		backoffUntil = until
 	}
-	n.Rest = 0
-	t.servers[server] = Standing{Notice: n, ReceivedAt: now, BackoffUntil: backoffUntil}
+	n.Backoff = 0
+	t.servers[server] = State{Notice: n, ReceivedAt: now, BackoffUntil: backoffUntil}
 	return c, c.Before != c.After
 }
 
-// Of returns the standing of a server.
-func (t *Table) Of(server string) Standing {
+// Get returns the state of a server.
+func (t *Table) Get(server string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.servers[server]
@@ -76,17 +76,17 @@
 }
 
 // Counts holds the numbers of servers with a limit, leaving, and in backoff.
-type Counts struct{ Limited, Leaving, Resting int }
+type Counts struct{ Limited, Leaving, BackingOff int }
 
 // Count counts the servers by what they state.
 func (t *Table) Count(now time.Time) (c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.servers {
-		if s.Rest(now) > 0 {
-			c.Resting++
+		if s.Backoff(now) > 0 {
+			c.BackingOff++
 		}
-		if s.Limit.Named {
+		if s.Limit.Valid {
 			c.Limited++
 		}
 		if s.Leaving {
@@ -97,11 +97,11 @@
 }
 
 // Retain removes the servers that listed does not report and whose newest answer is older
-// than KeptUnlisted.
+// than UnlistedRetention.
 func (t *Table) Retain(now time.Time, listed func(server string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.servers, func(server string, s Standing) bool {
-		return s.Age(now) > KeptUnlisted && !listed(server)
+	maps.DeleteFunc(t.servers, func(server string, s State) bool {
+		return s.Age(now) > UnlistedRetention && !listed(server)
 	})
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -11,10 +11,10 @@
 // value means that it is unknown.
 type Fingerprint [16]byte
 
-// Of returns the fingerprint of a request. Requests have the same one if method, host, target,
-// caller and body are equal. The hash is cryptographic, since callers choose the input: no
+// NewFingerprint returns the fingerprint of a request. Requests have the same one if method, host,
+// target, caller and body are equal. The hash is cryptographic, since callers choose the input: no
 // caller can forge a request that is taken for that of another one.
-func Of(method, host, target, caller string, body []byte) Fingerprint {
+func NewFingerprint(method, host, target, caller string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{method, host, target, caller} {
 		var length [4]byte
@@ -28,8 +28,8 @@
 	return f
 }
 
-// FromBytes converts the result of Bytes back; any other input gives the zero value.
-func FromBytes(b []byte) Fingerprint {
+// FingerprintFromBytes converts the result of Bytes back; any other input gives the zero value.
+func FingerprintFromBytes(b []byte) Fingerprint {
 	var f Fingerprint
 	if len(b) == len(f) {
 		copy(f[:], b)
@@ -51,9 +51,9 @@
 // String returns the hexadecimal form used in logs, in operators' commands and as store key.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse converts the result of String back; it reports false for any other input.
-func Parse(text string) (Fingerprint, bool) {
+// ParseFingerprint converts the result of String back; it reports false for any other input.
+func ParseFingerprint(text string) (Fingerprint, bool) {
 	b, err := hex.DecodeString(text)
-	f := FromBytes(b)
+	f := FingerprintFromBytes(b)
 	return f, err == nil && f.Known()
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// Standing says how the scheduler must treat a request.
-type Standing uint8
+// Verdict says how the scheduler must treat a request.
+type Verdict uint8
 
 const (
-	// Free requests run without restriction.
-	Free Standing = iota
+	// Unrestricted requests run as any other.
+	Unrestricted Verdict = iota
 	// Suspect requests were running on a server that ended, as other requests may have been.
 	// They still run, but only one copy of the same request at a time.
 	Suspect
 	// Isolated requests were the most suspect ones at two ends or more, or their quarantine
 	// has expired. One copy runs at a time, separately from other suspects.
 	Isolated
-	// Wait is as Isolated, but the cause of the newest end is not clear yet.
-	Wait
+	// Undecided is as Isolated, but the cause of the newest end is not clear yet.
+	Undecided
 	// Quarantined requests are the proven cause of several ends. They do not run.
 	Quarantined
 )
 
-// Peers reports on the servers of a request's service.
-type Peers interface {
-	// Well reports whether a server that was known before since has answered after it and has
-	// not ended.
-	Well(since Time) bool
-	// Unseen counts the servers that may have ended at a time without this being noticed yet,
-	// because they ran no request that would have failed.
-	Unseen(at Time) int
+// ServiceServers reports on the servers of a request's service.
+type ServiceServers interface {
+	// AnsweredSince reports whether a server that was known before since has answered after it and
+	// has not ended.
+	AnsweredSince(since Time) bool
+	// UndetectedEnds counts the servers that may have ended at a time without this being noticed
+	// yet, because they ran no request that would have failed.
+	UndetectedEnds(at Time) int
 }
 
 // SetPartial sets whether the table may lack facts that other hosts know.
@@ -44,10 +44,10 @@
 
 // Judge returns how a request must be treated now. It puts the request in quarantine when the
 // facts suffice and are complete.
-func (t *Table) Judge(now Time, f Fingerprint, peers Peers) Standing {
+func (t *Table) Judge(now Time, f Fingerprint, peers ServiceServers) Verdict {
 	e := t.entries[f]
 	if e == nil {
-		return Free
+		return Unrestricted
 	}
 	if !e.lastJudgment.stale(now, t.revision) {
 		return e.lastJudgment.standing
@@ -59,7 +59,7 @@
 
 // judgment is a cached result of Judge.
 type judgment struct {
-	standing Standing
+	standing Verdict
 	at       Time
 	revision uint64 // of the table
 }
@@ -71,7 +71,7 @@
 	return j.revision != revision || now-j.at >= judgmentTTL
 }
 
-func (t *Table) judge(now Time, f Fingerprint, e *entry, peers Peers) Standing {
+func (t *Table) judge(now Time, f Fingerprint, e *entry, peers ServiceServers) Verdict {
 	if e.quarantined {
 		if now >= e.retryAt {
 			return Isolated
@@ -80,18 +80,18 @@
 	}
 	if now-e.last() > endRetention {
 		t.drop(f)
-		return Free
+		return Unrestricted
 	}
 	ends, separateCauses := t.attributedEnds(f, e, peers)
 	if len(ends) < 2 {
 		if e.progressAt > e.last() {
-			return Free
+			return Unrestricted
 		}
 		return Suspect
 	}
 	last := ends[len(ends)-1].at
-	if now-last < correlationWindow || now-last < sameCauseWindow && !peers.Well(last) {
-		return Wait
+	if now-last < correlationWindow || now-last < sameCauseWindow && !peers.AnsweredSince(last) {
+		return Undecided
 	}
 	if separateCauses < endsToQuarantine {
 		return Isolated
@@ -100,7 +100,7 @@
 	// their entries expire. Before that, a request that ran on the busy ones would look like
 	// the only cause.
 	if t.partial || t.mayProveCorrelated(now, ends, peers) {
-		return Wait
+		return Undecided
 	}
 	e.quarantined, e.quarantinedAt, e.quarantinedBy = true, now, t.host
 	e.retryAt = now + initialQuarantine
@@ -116,14 +116,14 @@
 // more ends it has seen, the fewer of them are attributed to others. Servers also end for other
 // reasons: a rack fails repeatedly, with hundreds of requests, of which a few are present each
 // time.
-func (t *Table) attributedEnds(f Fingerprint, e *entry, peers Peers) (list []end, separateCauses int) {
+func (t *Table) attributedEnds(f Fingerprint, e *entry, peers ServiceServers) (list []end, separateCauses int) {
 	for i := range e.ends {
 		lost := &e.ends[i]
 		if t.correlated(f, lost) || t.hasStrongerSuspect(f, e, lost) {
 			continue
 		}
 		n := len(list)
-		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCauseWindow || peers.Well(list[n-1].at)) {
+		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCauseWindow || peers.AnsweredSince(list[n-1].at)) {
 			lost.distinct = true
 			t.unreported[f] = true // another home could not tell which servers answered then
 		}
@@ -154,9 +154,9 @@
 
 // mayProveCorrelated reports whether entries of idle servers that have yet to expire may show
 // that one of the ends was correlated with others.
-func (t *Table) mayProveCorrelated(now Time, ends []end, peers Peers) bool {
+func (t *Table) mayProveCorrelated(now Time, ends []end, peers ServiceServers) bool {
 	return slices.ContainsFunc(ends, func(e end) bool {
-		return now-e.at < t.entryTTL && peers.Unseen(e.at) >= minOtherEnds
+		return now-e.at < t.entryTTL && peers.UndetectedEnds(e.at) >= minOtherEnds
 	})
 }
 
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -11,7 +11,7 @@
 	Fingerprint Fingerprint
 	Account     string
 	Service     string
-	Ends        []End
+	Ends        []ServerEnd
 	Quarantined bool
 	Age         Time // time since it was quarantined
 	RetryIn     Time // time until a trial run is allowed
@@ -21,11 +21,11 @@
 	ClearedAge Time
 }
 
-// End is a server's end in a Record.
-type End struct {
-	Server string
-	Age    Time
-	Shown  bool // the request had sent an event there
+// ServerEnd is a server's end in a Record.
+type ServerEnd struct {
+	Server    string
+	Age       Time
+	EventSeen bool // the request had sent an event there
 	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
 }
@@ -45,7 +45,7 @@
 		t.mergeCleared(now-r.ClearedAge, r.Fingerprint)
 	}
 	for _, lost := range r.Ends {
-		t.Add(now, Loss{Fingerprint: r.Fingerprint, Account: r.Account, Service: r.Service, Server: lost.Server, At: now - lost.Age, Shown: lost.Shown, Distinct: lost.Distinct})
+		t.Add(now, Loss{Fingerprint: r.Fingerprint, Account: r.Account, Service: r.Service, Server: lost.Server, At: now - lost.Age, EventSeen: lost.EventSeen, Distinct: lost.Distinct})
 	}
 	if r.Quarantined {
 		t.mergeQuarantined(now, r)
@@ -95,7 +95,7 @@
 	}
 	r.Account, r.Service = e.account, e.service
 	for _, lost := range e.ends {
-		r.Ends = append(r.Ends, End{Server: lost.server, Age: now - lost.at, Shown: lost.eventSeen, Distinct: lost.distinct})
+		r.Ends = append(r.Ends, ServerEnd{Server: lost.server, Age: now - lost.at, EventSeen: lost.eventSeen, Distinct: lost.distinct})
 	}
 	if e.quarantined {
 		r.Quarantined, r.Age, r.RetryIn, r.By = true, now-e.quarantinedAt, max(0, e.retryAt-now), e.quarantinedBy
@@ -117,8 +117,8 @@
 	return out
 }
 
-// TakeNews returns the records that have changed since the last call.
-func (t *Table) TakeNews(now Time) []Record {
+// TakeChanges returns the records that have changed since the last call.
+func (t *Table) TakeChanges(now Time) []Record {
 	if len(t.unreported) == 0 {
 		return nil
 	}
--- a/internal/quarantine/row.go
+++ b/internal/quarantine/row.go
@@ -40,7 +40,7 @@
 // DecodeRow decodes a row of the store. It fails with BadConfig if key or value is malformed.
 func DecodeRow(key string, value []byte) (Fingerprint, Row, error) {
 	var row Row
-	f, ok := Parse(key)
+	f, ok := ParseFingerprint(key)
 	if !ok {
 		return f, row, failure.New(failure.BadConfig, "%q is no fingerprint", key)
 	}
@@ -63,7 +63,7 @@
 		RetryIn: max(0, time.UnixMilli(row.RetryMs).Sub(now)),
 	}
 	for _, server := range row.Servers {
-		r.Ends = append(r.Ends, End{Server: server, Age: r.Age})
+		r.Ends = append(r.Ends, ServerEnd{Server: server, Age: r.Age})
 	}
 	return r
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -59,8 +59,8 @@
 	Service     string
 	Server      string // incarnation of the server
 	At          Time
-	// Shown is set when the run had sent an event, so the server had started on it earlier.
-	Shown bool
+	// EventSeen is set when the run had sent an event, so the server had started on it earlier.
+	EventSeen bool
 	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
 }
@@ -114,7 +114,7 @@
 type Table struct {
 	host     string // name of the owning host, recorded with requests it quarantines
 	partial  bool   // see SetPartial
-	entryTTL Time   // see SetLapse
+	entryTTL Time   // see SetEntryTTL
 	entries  map[Fingerprint]*entry
 	servers  map[string]*serverEnd
 	idleEnds map[string]interval // ends of servers that ran no known request
@@ -122,7 +122,7 @@
 	serversByEnd []*serverEnd
 	sorted       bool
 	cleared      map[Fingerprint]Time // facts up to this time are ignored
-	unreported   map[Fingerprint]bool // changed since the last TakeNews
+	unreported   map[Fingerprint]bool // changed since the last TakeChanges
 	revision     uint64               // incremented with each change of the table
 }
 
@@ -137,8 +137,8 @@
 // SetHost sets the name of the host that owns the table.
 func (t *Table) SetHost(name string) { t.host = name }
 
-// SetLapse sets the longest time for which a server stays listed after its end.
-func (t *Table) SetLapse(d Time) { t.entryTTL = d }
+// SetEntryTTL sets the longest time for which a server stays listed after its end.
+func (t *Table) SetEntryTTL(d Time) { t.entryTTL = d }
 
 // Has reports whether a server has ended under a request. It is cheap, since it is called for
 // each request in the queue.
@@ -169,7 +169,7 @@
 		e.ends[i].distinct = e.ends[i].distinct || l.Distinct
 		return false
 	}
-	e.ends = append(e.ends, end{server: l.Server, at: l.At, eventSeen: l.Shown, distinct: l.Distinct})
+	e.ends = append(e.ends, end{server: l.Server, at: l.At, eventSeen: l.EventSeen, distinct: l.Distinct})
 	slices.SortStableFunc(e.ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
 	if len(e.ends) > maxEndsPerRequest {
 		t.unlink(l.Fingerprint, e.ends[0].server)
@@ -249,9 +249,9 @@
 	delete(t.idleEnds, l.Server)
 }
 
-// EndedIdle records that a server ended between two times while it ran no known request.
+// AddIdleEnd records that a server ended between two times while it ran no known request.
 // Further calls for the server narrow the interval.
-func (t *Table) EndedIdle(server string, from, to Time) {
+func (t *Table) AddIdleEnd(server string, from, to Time) {
 	if t.servers[server] != nil {
 		return
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,7 +17,7 @@
 }
 
 func request(account string, n int) Fingerprint {
-	return Of("POST", "h", "/p", account, fmt.Append(nil, n))
+	return NewFingerprint("POST", "h", "/p", account, fmt.Append(nil, n))
 }
 
 // peers is a service of which one server or none answers, and some may have ended unnoticed.
@@ -26,8 +26,8 @@
 	unseen int
 }
 
-func (p peers) Well(Time) bool  { return p.well }
-func (p peers) Unseen(Time) int { return p.unseen }
+func (p peers) AnsweredSince(Time) bool { return p.well }
+func (p peers) UndetectedEnds(Time) int { return p.unseen }
 
 var (
 	answering = peers{well: true}
@@ -93,26 +93,26 @@
 	// expire. Until then the request was refused as the cause.
 	It("waits until the entries of idle servers may have expired", func() {
 		const lapse = 4 * time.Second
-		t.SetLapse(lapse)
+		t.SetEntryTTL(lapse)
 		idle := peers{well: true, unseen: 2}
 		for round := range 3 {
 			at := time.Duration(round) * 10 * time.Second
 			t.end(at, fmt.Sprint("busy", round), ordinary)
 			Expect(t.Judge(at+lapse-time.Second, ordinary, idle)).To(BeNumerically("<", Quarantined))
 			for i := range 2 {
-				t.EndedIdle(fmt.Sprint("idle", round, i), at-time.Second, at+lapse)
+				t.AddIdleEnd(fmt.Sprint("idle", round, i), at-time.Second, at+lapse)
 			}
 			Expect(t.Judge(at+lapse+time.Second, ordinary, answering)).To(BeNumerically("<", Quarantined))
 		}
 	})
 
 	It("stops waiting when the entries must have expired, and does not wait without idle servers", func() {
-		t.SetLapse(4 * time.Second)
+		t.SetEntryTTL(4 * time.Second)
 		for i := range 3 {
 			t.end(time.Duration(2*i)*time.Second, fmt.Sprint("e", i), poison)
 		}
 		idle := peers{well: true, unseen: 2}
-		Expect(t.Judge(5*time.Second, poison, idle)).To(Equal(Wait))
+		Expect(t.Judge(5*time.Second, poison, idle)).To(Equal(Undecided))
 		Expect(t.Judge(9*time.Second, poison, idle)).To(Equal(Quarantined))
 	})
 
@@ -122,14 +122,14 @@
 		for i := range 3 {
 			t.end(time.Duration(i)*150*time.Millisecond, fmt.Sprint("e", i), ordinary)
 		}
-		Expect(t.Judge(400*time.Millisecond, ordinary, silent)).To(Equal(Wait))
+		Expect(t.Judge(400*time.Millisecond, ordinary, silent)).To(Equal(Undecided))
 		Expect(t.Judge(3*time.Second, ordinary, silent)).To(Equal(Isolated))
 	})
 
 	It("suspects the request that had sent no event yet", func() {
 		for i := range 3 {
 			at, server := time.Duration(i)*3*time.Second, fmt.Sprint("e", i)
-			t.Add(at, Loss{Fingerprint: ordinary, Server: server, At: at, Shown: true})
+			t.Add(at, Loss{Fingerprint: ordinary, Server: server, At: at, EventSeen: true})
 			t.Add(at, Loss{Fingerprint: poison, Server: server, At: at})
 		}
 		Expect(t.Judge(9*time.Second, poison, answering)).To(Equal(Quarantined))
@@ -142,13 +142,13 @@
 		t.end(0, "e1", ordinary)
 		t.end(2*time.Second, "e2", ordinary)
 		Expect(t.Clear(3*time.Second, ordinary)).To(BeTrue())
-		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Free))
+		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Unrestricted))
 		t.end(2*time.Second, "e3", ordinary) // a late report of an end before the success
-		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Free))
+		Expect(t.Judge(3*time.Second, ordinary, answering)).To(Equal(Unrestricted))
 
 		t.end(4*time.Second, "e4", ordinary)
 		t.Progress(5*time.Second, ordinary)
-		Expect(t.Judge(5*time.Second, ordinary, answering)).To(Equal(Free))
+		Expect(t.Judge(5*time.Second, ordinary, answering)).To(Equal(Unrestricted))
 		t.end(6*time.Second, "e5", ordinary)
 		Expect(t.Judge(7*time.Second, ordinary, answering)).To(Equal(Isolated))
 	})
@@ -223,7 +223,7 @@
 	It("reports to another host which ends have separate causes", func() {
 		for i := range 3 {
 			t.end(time.Duration(i)*300*time.Millisecond, fmt.Sprint("e", i), poison)
-			Expect(t.Judge(time.Duration(i)*300*time.Millisecond+250*time.Millisecond, poison, answering)).To(BeNumerically(">", Free))
+			Expect(t.Judge(time.Duration(i)*300*time.Millisecond+250*time.Millisecond, poison, answering)).To(BeNumerically(">", Unrestricted))
 		}
 		next := NewTable()
 		for _, f := range t.All(time.Second) {
@@ -240,35 +240,35 @@
 		Expect(t.Judge(6*time.Second, poison, answering)).To(Equal(Quarantined))
 		stale := t.Record(6*time.Second, poison)
 		t.Merge(7*time.Second, Record{Fingerprint: poison, Cleared: true})
-		Expect(t.Judge(7*time.Second, poison, answering)).To(Equal(Free))
+		Expect(t.Judge(7*time.Second, poison, answering)).To(Equal(Unrestricted))
 		stale.Age += 2 * time.Second
 		for i := range stale.Ends {
 			stale.Ends[i].Age += 2 * time.Second
 		}
 		t.Merge(8*time.Second, stale)
-		Expect(t.Judge(8*time.Second, poison, answering)).To(Equal(Free))
+		Expect(t.Judge(8*time.Second, poison, answering)).To(Equal(Unrestricted))
 	})
 })
 
 var _ = Describe("fingerprints", func() {
 	It("differ with each of method, host, target, caller and body", func() {
-		base := Of("POST", "h", "/p", "a", []byte("b"))
-		Expect(Of("POST", "h", "/p", "a", []byte("b"))).To(Equal(base))
+		base := NewFingerprint("POST", "h", "/p", "a", []byte("b"))
+		Expect(NewFingerprint("POST", "h", "/p", "a", []byte("b"))).To(Equal(base))
 		for _, other := range []Fingerprint{
-			Of("GET", "h", "/p", "a", []byte("b")), Of("POST", "g", "/p", "a", []byte("b")),
-			Of("POST", "h", "/q", "a", []byte("b")), Of("POST", "h", "/p", "c", []byte("b")),
-			Of("POST", "h", "/p", "a", []byte("d")), Of("POST", "h", "/pa", "", []byte("b")), Of("POSTh", "", "/p", "a", []byte("b")),
+			NewFingerprint("GET", "h", "/p", "a", []byte("b")), NewFingerprint("POST", "g", "/p", "a", []byte("b")),
+			NewFingerprint("POST", "h", "/q", "a", []byte("b")), NewFingerprint("POST", "h", "/p", "c", []byte("b")),
+			NewFingerprint("POST", "h", "/p", "a", []byte("d")), NewFingerprint("POST", "h", "/pa", "", []byte("b")), NewFingerprint("POSTh", "", "/p", "a", []byte("b")),
 		} {
 			Expect(other).NotTo(Equal(base))
 		}
 	})
 	It("are parsed from the form in which they are written", func() {
-		f, ok := Parse(poison.String())
+		f, ok := ParseFingerprint(poison.String())
 		Expect(ok).To(BeTrue())
 		Expect(f).To(Equal(poison))
-		_, ok = Parse("not one")
+		_, ok = ParseFingerprint("not one")
 		Expect(ok).To(BeFalse())
-		Expect(FromBytes(poison.Bytes())).To(Equal(poison))
+		Expect(FingerprintFromBytes(poison.Bytes())).To(Equal(poison))
 		Expect(Fingerprint{}.Bytes()).To(BeNil())
 	})
 })
@@ -276,7 +276,7 @@
 var _ = Describe("rows of the store", func() {
 	It("hold the contents of a record", func() {
 		now := time.UnixMilli(1_000_000_000_000)
-		row := RowOf(now, Record{Account: "a", Service: "s", By: "front-1", Age: time.Second, RetryIn: time.Minute, Ends: []End{{Server: "e1"}}})
+		row := RowOf(now, Record{Account: "a", Service: "s", By: "front-1", Age: time.Second, RetryIn: time.Minute, Ends: []ServerEnd{{Server: "e1"}}})
 		text, err := row.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		f, again, err := DecodeRow(poison.String(), text)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -16,7 +16,7 @@
 type Order struct {
 	Service string
 	To      string        // version to move to
-	Lasts   time.Duration // time from the order to its deadline
+	Timeout time.Duration // time from the order to its deadline
 	Row     int64         // version of the order's row in the store; a newer one replaces the order
 }
 
@@ -27,7 +27,7 @@
 		return "it names no service"
 	case o.To == "":
 		return "it names no version"
-	case o.Lasts <= 0:
+	case o.Timeout <= 0:
 		return "it has no duration"
 	}
 	return ""
--- a/internal/rollout/row.go
+++ b/internal/rollout/row.go
@@ -24,14 +24,14 @@
 func (r Row) Begun() time.Duration { return time.Duration(r.BegunMs) * time.Millisecond }
 
 // Over reports whether the roll-out has ended.
-func (r Row) Over() bool { return r.Phase == Moved || r.Phase == TakenBack }
+func (r Row) Over() bool { return r.Phase == Moved || r.Phase == PhaseRolledBack }
 
 // State returns the state shown to operators.
 func (r Row) State() State {
 	switch r.Phase {
 	case Moved:
 		return Completed
-	case TakenBack:
+	case PhaseRolledBack:
 		return RolledBack
 	}
 	return Running
@@ -52,8 +52,10 @@
 // wishKeyPrefix precedes the service in the key of an operator's wish.
 const wishKeyPrefix = "wish/"
 
-// WishKey returns the key of the row with an operator's wish for a service's roll-out.
-func WishKey(service string) string { return wishKeyPrefix + service }
+// CommandKey returns the key of the row with an operator's command for a service's roll-out.
+func CommandKey(service string) string { return wishKeyPrefix + service }
 
-// WishOf returns the service in the key of a wish.
-func WishOf(key string) (service string, ok bool) { return strings.CutPrefix(key, wishKeyPrefix) }
+// ServiceOfCommandKey returns the service in the key of a command.
+func ServiceOfCommandKey(key string) (service string, ok bool) {
+	return strings.CutPrefix(key, wishKeyPrefix)
+}
--- a/internal/rollout/samples.go
+++ b/internal/rollout/samples.go
@@ -8,9 +8,9 @@
 	Server string
 	New    bool // the server runs the version on trial
 	Failed bool // the answer was a failure, cut off or corrupt
-	// Took is the duration of the answer divided by the expected duration of such an answer, 1
-	// if both are equal; 0 if it is unknown.
-	Took float64
+	// RelativeTime is the duration of the answer divided by the expected duration of such an
+	// answer, 1 if both are equal; 0 if it is unknown.
+	RelativeTime float64
 }
 
 const (
@@ -56,13 +56,13 @@
 	answers   float64
 	bad       [faultCount]movingMean // share of bad answers over longWindow
 	recentBad [faultCount]movingMean // the same over shortWindow
-	logTook   movingMean             // logarithm of Took of answers that did not fail
+	logTook   movingMean             // logarithm of RelativeTime of answers that did not fail
 }
 
 // faultsOf returns the ways in which an answer is bad.
 func (b *baseline) faultsOf(s Sample) (out [faultCount]bool) {
 	out[failing] = s.Failed
-	out[slow] = s.Took > 0 && b.logTook.n > 0 && math.Log(s.Took)-b.logTook.value > math.Log(slowFactor)
+	out[slow] = s.RelativeTime > 0 && b.logTook.n > 0 && math.Log(s.RelativeTime)-b.logTook.value > math.Log(slowFactor)
 	return out
 }
 
@@ -75,8 +75,8 @@
 		b.bad[f].add(x, longWindow)
 		b.recentBad[f].add(x, shortWindow)
 	}
-	if s.Took > 0 && !s.Failed {
-		b.logTook.add(math.Log(s.Took), shortWindow)
+	if s.RelativeTime > 0 && !s.Failed {
+		b.logTook.add(math.Log(s.RelativeTime), shortWindow)
 	}
 }
 
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -14,12 +14,12 @@
 
 // The phases of a trial; the chart file describes them.
 const (
-	Trying     Phase = "trying"
-	Paused     Phase = "paused"
-	Moving     Phase = "moving"
-	Moved      Phase = "moved"
-	TakenBack  Phase = "taken_back"
-	Superseded Phase = "superseded"
+	Trying          Phase = "trying"
+	Paused          Phase = "paused"
+	Moving          Phase = "moving"
+	Moved           Phase = "moved"
+	PhaseRolledBack Phase = "taken_back"
+	Superseded      Phase = "superseded"
 )
 
 // The events of the chart.
@@ -103,16 +103,16 @@
 // Replace ends the trial because of a newer order.
 func (t *Trial) Replace() { t.fire(evReplaced, "replaced by a newer order") }
 
-// MayTake reports whether the bounds allow one more request for the new version, regardless of
+// WithinBounds reports whether the bounds allow one more request for the new version, regardless of
 // turns.
-func (t *Trial) MayTake() bool { return t.Phase() == Trying && t.credit() >= 1 }
+func (t *Trial) WithinBounds() bool { return t.Phase() == Trying && t.credit() >= 1 }
 
 // State returns the state shown to operators.
 func (t *Trial) State() State {
 	switch t.Phase() {
 	case Moved:
 		return Completed
-	case TakenBack:
+	case PhaseRolledBack:
 		return RolledBack
 	}
 	return Running
@@ -122,7 +122,7 @@
 func (t *Trial) Why() string { return t.why }
 
 // Deadline returns the time by which the order asks for the service to be moved.
-func (t *Trial) Deadline() Time { return t.orderedAt + t.Order.Lasts }
+func (t *Trial) Deadline() Time { return t.orderedAt + t.Order.Timeout }
 
 func (t *Trial) fire(e chart.Event, why string) bool {
 	before := t.machine.State()
@@ -133,16 +133,16 @@
 	return true
 }
 
-// Reached counts a request that was sent to a server of the service.
-func (t *Trial) Reached(toNew bool) {
+// CountRequest counts a request that was sent to a server of the service.
+func (t *Trial) CountRequest(toNew bool) {
 	t.reached++
 	if toNew {
 		t.tried++
 	}
 }
 
-// Unreached reverts Reached for a request that was not sent after all.
-func (t *Trial) Unreached(toNew bool) {
+// UncountRequest reverts CountRequest for a request that was not sent after all.
+func (t *Trial) UncountRequest(toNew bool) {
 	t.reached--
 	if toNew {
 		t.tried--
@@ -202,12 +202,12 @@
 	return next.Server
 }
 
-// Wants reports whether a request of a route may be sent to the new version now, so that no
+// RouteAllowed reports whether a request of a route may be sent to the new version now, so that no
 // route gets far ahead of the others.
 //
 // Routes with rare requests do not hold back the others. These would get no tries, and the
 // roll-out would neither move nor be rolled back.
-func (t *Trial) Wants(route string) bool {
+func (t *Trial) RouteAllowed(route string) bool {
 	minTries := -1
 	for r, b := range t.samples.baselines {
 		if b.answers < minRouteShare*t.samples.baselineAnswers {
@@ -226,9 +226,9 @@
 	t.turn.remaining--
 }
 
-// Learn adds an answer and reports whether the version is rolled back because of it. servers is
+// AddAnswer adds an answer and reports whether the version is rolled back because of it. servers is
 // the number of servers of the new version.
-func (t *Trial) Learn(now Time, s Sample, servers int) (decided bool) {
+func (t *Trial) AddAnswer(now Time, s Sample, servers int) (decided bool) {
 	if bad := t.samples.add(s); !bad || t.State().Over() {
 		return false
 	}
@@ -247,9 +247,9 @@
 	return significance
 }
 
-// Pass re-evaluates the trial as time passes, and reports whether the move to the version starts
-// or the version is rolled back.
-func (t *Trial) Pass(now Time, servers int) (decided bool) {
+// Evaluate re-evaluates the trial as time passes, and reports whether the move to the version
+// starts or the version is rolled back.
+func (t *Trial) Evaluate(now Time, servers int) (decided bool) {
 	if t.Phase() != Trying || !t.mayMove(now) || t.samples.n < minAnswersToMove {
 		return false
 	}
@@ -258,7 +258,7 @@
 		return t.fire(evBad, worst.String())
 	}
 	if worst.pValue < minMovePValue {
-		return now >= t.Deadline()+t.Order.Lasts/2 && t.fire(evBad, "still unsure; "+worst.String())
+		return now >= t.Deadline()+t.Order.Timeout/2 && t.fire(evBad, "still unsure; "+worst.String())
 	}
 	return t.fire(evMove, fmt.Sprintf("%d of %d answers bad, %.0f of %.0f requests tried", t.samples.bad, t.samples.n, t.tried, t.reached))
 }
@@ -283,26 +283,26 @@
 	return t.tried+upper <= trialAndMoveShare*(t.bounds.Share*(t.reached+expected)+slack)
 }
 
-// Ending reports whether a run on an old server that is expected to take the given time would
+// OutlastsMove reports whether a run on an old server that is expected to take the given time would
 // still be running when the service has been moved.
-func (t *Trial) Ending(now Time, takes time.Duration) bool {
+func (t *Trial) OutlastsMove(now Time, takes time.Duration) bool {
 	return t.Phase() == Trying && now+takes > t.Deadline()-storeWriteMargin
 }
 
-// Empty records that no old server has a run that would be lost with it, and reports whether
-// that completes the roll-out.
-func (t *Trial) Empty() bool {
+// OldServersIdle records that no old server has a run that would be lost with it, and reports
+// whether that completes the roll-out.
+func (t *Trial) OldServersIdle() bool {
 	return t.Phase() == Moving && t.fire(evEmpty, t.why)
 }
 
 // Standing returns the current figures of the trial.
-func (t *Trial) Standing() Standing {
-	r := Standing{
+func (t *Trial) Standing() Status {
+	r := Status{
 		Order: t.Order, Phase: t.Phase(), Why: t.why, Reached: t.reached, Tried: t.tried,
-		Answers: t.samples.n, Bad: t.samples.bad, Routes: map[string]RouteStanding{},
+		Answers: t.samples.n, Bad: t.samples.bad, Routes: map[string]RouteStatus{},
 	}
 	for route, b := range t.samples.baselines {
-		r.Routes[route] = RouteStanding{Tried: t.tries[route], Usual: b.bad[failing].value}
+		r.Routes[route] = RouteStatus{Tried: t.tries[route], Usual: b.bad[failing].value}
 	}
 	t.samples.newest(func(s judgedAnswer) bool {
 		standing := r.Routes[s.route]
@@ -316,8 +316,8 @@
 	return r
 }
 
-// Standing holds the figures of a trial for operators.
-type Standing struct {
+// Status holds the figures of a trial for operators.
+type Status struct {
 	Order   Order
 	Phase   Phase
 	Why     string
@@ -325,29 +325,29 @@
 	Tried   float64 // those of them that were given to the new version
 	Answers int     // answers of the new version
 	Bad     int     // bad ones among them
-	Routes  map[string]RouteStanding
+	Routes  map[string]RouteStatus
 }
 
-// RouteStanding holds the figures of the new version on one route.
-type RouteStanding struct {
+// RouteStatus holds the figures of the new version on one route.
+type RouteStatus struct {
 	Tried   int
 	Answers int     // newest answers, as far as they are stored
 	Bad     int     // bad ones among them
 	Usual   float64 // share of the old version's answers that are failures
 }
 
-// Wish is an operator's command for a trial.
-type Wish string
+// Command is an operator's command for a trial.
+type Command string
 
 // The operators' commands.
 const (
-	WishPause    Wish = "pause"
-	WishResume   Wish = "resume"
-	WishTakeBack Wish = "take-back"
+	WishPause    Command = "pause"
+	WishResume   Command = "resume"
+	WishTakeBack Command = "take-back"
 )
 
-// Obey carries out an operator's command and reports whether the phase changed.
-func (t *Trial) Obey(w Wish) bool {
+// Apply carries out an operator's command and reports whether the phase changed.
+func (t *Trial) Apply(w Command) bool {
 	const why = "by an operator's word"
 	switch w {
 	case WishPause:
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -15,15 +15,15 @@
 }
 
 var (
-	order  = Order{Service: "s", To: "v2", Lasts: 10 * time.Second, Row: 7}
+	order  = Order{Service: "s", To: "v2", Timeout: 10 * time.Second, Row: 7}
 	bounds = Bounds{Share: 0.1, Slack: 50}
 )
 
 // addAnswers adds n answers of a version on one route, by its servers in turn; every nth fails.
 func (t *Trial) addAnswers(now Time, isNew bool, n, nth, servers int) (decided bool) {
 	for i := range n {
-		s := Sample{Route: "r", Server: fmt.Sprint(isNew, i%servers), New: isNew, Failed: nth > 0 && i%nth == nth-1, Took: 1}
-		decided = t.Learn(now, s, servers) || decided
+		s := Sample{Route: "r", Server: fmt.Sprint(isNew, i%servers), New: isNew, Failed: nth > 0 && i%nth == nth-1, RelativeTime: 1}
+		decided = t.AddAnswer(now, s, servers) || decided
 	}
 	return decided
 }
@@ -34,10 +34,10 @@
 	for range n {
 		if t.Turn(now, free) != "" {
 			t.Tried("r")
-			t.Reached(true)
+			t.CountRequest(true)
 			continue
 		}
-		t.Reached(false)
+		t.CountRequest(false)
 	}
 }
 
@@ -48,7 +48,7 @@
 	It("rolls back a version that fails far more often than the old one", func() {
 		t.addAnswers(0, false, 200, 0, 3)
 		Expect(t.addAnswers(time.Second, true, 60, 4, 3)).To(BeTrue())
-		Expect(t.Phase()).To(Equal(TakenBack))
+		Expect(t.Phase()).To(Equal(PhaseRolledBack))
 		Expect(t.State()).To(Equal(RolledBack))
 		Expect(t.Why()).To(ContainSubstring("usual"))
 	})
@@ -65,7 +65,7 @@
 		t.addAnswers(0, false, 300, 0, 3)
 		for i := range 120 {
 			server := i % 3
-			Expect(t.Learn(time.Second, Sample{Route: "r", Server: fmt.Sprint(server), New: true, Failed: server == 0 && i%2 == 0, Took: 1}, 3)).To(BeFalse())
+			Expect(t.AddAnswer(time.Second, Sample{Route: "r", Server: fmt.Sprint(server), New: true, Failed: server == 0 && i%2 == 0, RelativeTime: 1}, 3)).To(BeFalse())
 		}
 	})
 
@@ -73,7 +73,7 @@
 		t.addAnswers(0, false, 100, 0, 3)
 		decided := false
 		for i := range 40 {
-			decided = decided || t.Learn(time.Second, Sample{Route: "r", Server: fmt.Sprint(i % 3), New: true, Took: 4}, 3)
+			decided = decided || t.AddAnswer(time.Second, Sample{Route: "r", Server: fmt.Sprint(i % 3), New: true, RelativeTime: 4}, 3)
 		}
 		Expect(decided).To(BeTrue())
 	})
@@ -107,17 +107,17 @@
 		t.addAnswers(0, false, 300, 0, 3)
 		const perStep = 50 // a tenth of a second
 		moved := Time(0)
-		for now := Time(0); now < order.Lasts && moved == 0; now += 100 * time.Millisecond {
+		for now := Time(0); now < order.Timeout && moved == 0; now += 100 * time.Millisecond {
 			t.addRequests(now, perStep)
 			t.addAnswers(now, true, 2, 0, 3)
-			if t.Pass(now, 3) {
+			if t.Evaluate(now, 3) {
 				moved = now
 			}
 		}
 		Expect(t.Phase()).To(Equal(Moving))
-		remaining := float64((order.Lasts-moved)/(100*time.Millisecond)) * perStep
+		remaining := float64((order.Timeout-moved)/(100*time.Millisecond)) * perStep
 		Expect(t.tried + remaining).To(BeNumerically("<=", bounds.Share*(t.reached+remaining)+bounds.Slack))
-		Expect(t.Empty()).To(BeTrue())
+		Expect(t.OldServersIdle()).To(BeTrue())
 		Expect(t.State()).To(Equal(Completed))
 	})
 
@@ -125,9 +125,9 @@
 	// nor was rolled back.
 	It("does not wait for a route with hardly any requests", func() {
 		t.addAnswers(0, false, 300, 0, 3)
-		t.Learn(0, Sample{Route: "rare", Server: "old", Took: 1}, 3)
+		t.AddAnswer(0, Sample{Route: "rare", Server: "old", RelativeTime: 1}, 3)
 		for range 100 {
-			Expect(t.Wants("r")).To(BeTrue())
+			Expect(t.RouteAllowed("r")).To(BeTrue())
 			t.Tried("r")
 		}
 	})
@@ -135,30 +135,30 @@
 	It("does not let a busy route get far ahead of another one", func() {
 		t.addAnswers(0, false, 300, 0, 3)
 		for range 60 {
-			t.Learn(0, Sample{Route: "other", Server: "old", Took: 1}, 3)
+			t.AddAnswer(0, Sample{Route: "other", Server: "old", RelativeTime: 1}, 3)
 		}
 		for range maxRouteLead + 1 {
-			Expect(t.Wants("r")).To(BeTrue())
+			Expect(t.RouteAllowed("r")).To(BeTrue())
 			t.Tried("r")
 		}
-		Expect(t.Wants("r")).To(BeFalse())
-		Expect(t.Wants("other")).To(BeTrue())
+		Expect(t.RouteAllowed("r")).To(BeFalse())
+		Expect(t.RouteAllowed("other")).To(BeTrue())
 	})
 
 	It("is paused, resumed and rolled back by operators", func() {
-		Expect(t.Obey(WishPause)).To(BeTrue())
-		Expect(t.Obey(WishPause)).To(BeFalse(), "repeated command")
+		Expect(t.Apply(WishPause)).To(BeTrue())
+		Expect(t.Apply(WishPause)).To(BeFalse(), "repeated command")
 		Expect(t.Turn(0, []Candidate{{Server: "a", Slots: 4}})).To(BeEmpty())
-		Expect(t.Obey(WishResume)).To(BeTrue())
-		Expect(t.Obey(WishTakeBack)).To(BeTrue())
+		Expect(t.Apply(WishResume)).To(BeTrue())
+		Expect(t.Apply(WishTakeBack)).To(BeTrue())
 		Expect(t.State()).To(Equal(RolledBack))
-		Expect(t.Obey(WishResume)).To(BeFalse(), "it is over")
+		Expect(t.Apply(WishResume)).To(BeFalse(), "it is over")
 	})
 
 	It("ends when a newer order replaces it", func() {
 		t.Replace()
 		Expect(t.Phase()).To(Equal(Superseded))
-		Expect(t.Pass(order.Lasts, 3)).To(BeFalse())
+		Expect(t.Evaluate(order.Timeout, 3)).To(BeFalse())
 	})
 })
 
@@ -166,7 +166,7 @@
 	It("is refused when a field is missing", func() {
 		Expect(order.Check()).To(BeEmpty())
 		for _, change := range []func(*Order){
-			func(o *Order) { o.Service = "" }, func(o *Order) { o.To = "" }, func(o *Order) { o.Lasts = 0 },
+			func(o *Order) { o.Service = "" }, func(o *Order) { o.To = "" }, func(o *Order) { o.Timeout = 0 },
 		} {
 			o := order
 			change(&o)
@@ -177,7 +177,7 @@
 
 var _ = Describe("the row of a roll-out", func() {
 	It("is decoded as it was encoded, and anything else is refused", func() {
-		row := Row{Order: 7, To: "v2", Phase: TakenBack, By: "front-1 a", BegunMs: 1200, Why: "bad"}
+		row := Row{Order: 7, To: "v2", Phase: PhaseRolledBack, By: "front-1 a", BegunMs: 1200, Why: "bad"}
 		text, err := row.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(DecodeRow(text)).To(Equal(row))
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -53,8 +53,8 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		fault("prefix %q must begin and end with a slash", r.Prefix)
 	}
-	if r.Aim > 0 && r.Timeout > 0 && r.Aim > r.Timeout {
-		fault("its latency objective %s is longer than its timeout %s", r.Aim, r.Timeout)
+	if r.LatencyTarget > 0 && r.Timeout > 0 && r.LatencyTarget > r.Timeout {
+		fault("its latency objective %s is longer than its timeout %s", r.LatencyTarget, r.Timeout)
 	}
 	total := 0
 	for _, t := range r.Targets {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -32,19 +32,19 @@
 
 // Route configures the requests of a host and path prefix.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // longest that a caller waits
-	Aim         time.Duration // latency target
-	GapAim      time.Duration // latency target for the pause between events
-	Patience    time.Duration // caller timeout: a stream's caller leaves after so long without an event, 0: at its deadline
-	Priority    int           // 0 is the most urgent
-	Targets     []Target
-	MaxAttempts int // maximum number of servers for one attempt of a caller
-	Public      bool
-	Resumable   bool
+	Name           string
+	Host           string
+	Prefix         string // begins and ends with a slash
+	Kind           Kind
+	Timeout        time.Duration // longest that a caller waits
+	LatencyTarget  time.Duration // for the first event of a stream or the whole answer of a plain call
+	EventGapTarget time.Duration // for the pause between events
+	CallerTimeout  time.Duration // a stream's caller leaves after so long without an event, 0: at its deadline
+	Priority       int           // 0 is the most urgent
+	Targets        []Target
+	MaxAttempts    int // maximum number of servers for one attempt of a caller
+	Public         bool
+	Resumable      bool
 }
 
 // Target is a service with its share of a route's requests.
@@ -86,11 +86,11 @@
 // Account is a client account.
 type Account struct {
 	sched.Account
-	Keys       []string
-	Priority   int
-	Ranked     bool // Priority is set and takes precedence over that of the route
-	InTokens   bool // the quota counts tokens, not requests
-	PlainUnits int  // charged for a request without token counts
+	Keys         []string
+	Priority     int
+	HasPriority  bool // Priority is set and takes precedence over that of the route
+	InTokens     bool // the quota counts tokens, not requests
+	DefaultUnits int  // charged for a request without token counts
 }
 
 // Config is a decoded configuration.
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -79,7 +79,7 @@
 		return Config{
 			Services: []sched.Service{{Name: "app"}},
 			Routes: []Route{
-				{Name: "r", Host: "h", Prefix: "/a/", Aim: time.Second, Timeout: 2 * time.Second, Targets: []Target{{Service: "app", Weight: 1}}},
+				{Name: "r", Host: "h", Prefix: "/a/", LatencyTarget: time.Second, Timeout: 2 * time.Second, Targets: []Target{{Service: "app", Weight: 1}}},
 				{Name: "s", Host: "h", Prefix: "/b/", Targets: []Target{{Service: "app", Weight: 1}}},
 			},
 			Accounts: []Account{{Account: sched.Account{Name: "one"}, Keys: []string{"k1"}}, {Account: sched.Account{Name: "two"}, Keys: []string{"k2"}}},
@@ -102,7 +102,7 @@
 		Entry("a prefix without a slash", `route "r": prefix "/a" must begin and end with a slash`, func(c *Config) { c.Routes[0].Prefix = "/a" }),
 		Entry("an unknown service", `route "r": there is no service "ap"`, func(c *Config) { c.Routes[0].Targets[0].Service = "ap" }),
 		Entry("weights of 0", `route "r": it needs a service with a weight above 0`, func(c *Config) { c.Routes[0].Targets[0].Weight = 0 }),
-		Entry("a latency target beyond the timeout", `route "r": its latency objective 3s is longer than its timeout 2s`, func(c *Config) { c.Routes[0].Aim = 3 * time.Second }),
+		Entry("a latency target beyond the timeout", `route "r": its latency objective 3s is longer than its timeout 2s`, func(c *Config) { c.Routes[0].LatencyTarget = 3 * time.Second }),
 		Entry("a prefix twice", `route "s" has the host and prefix of route "r"`, func(c *Config) { c.Routes[1].Prefix = "/a/" }),
 		Entry("a key twice", `account "two" has a key of account "one"`, func(c *Config) { c.Accounts[1].Keys[0] = "k1" }),
 		Entry("a negative rate", `account "one": rate and burst are 0 (no limit) or more`, func(c *Config) { c.Accounts[0].Rate = -1 }),
--- a/internal/sched/ask_test.go
+++ b/internal/sched/ask_test.go
@@ -40,7 +40,7 @@
 		for id := range uint64(3) {
 			s.Submit(0, plainRequest(id))
 		}
-		s.Adopt(ms, Run{Key: Key{Holder: 1, ID: 2}, Service: "plain", Server: "p"})
+		s.Adopt(ms, AdoptedRun{Key: Key{Holder: 1, ID: 2}, Service: "plain", Server: "p"})
 		Expect(s.Waiting()).To(BeZero())
 		Expect(s.Running()).To(Equal(3))
 	})
@@ -55,5 +55,5 @@
 }
 
 func plainRequest(id uint64) Request {
-	return Request{Key: Key{Holder: 1, ID: id}, Service: "plain", Aim: 100 * ms, Deadline: 600 * ms}
+	return Request{Key: Key{Holder: 1, ID: id}, Service: "plain", LatencyTarget: 100 * ms, Deadline: 600 * ms}
 }
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -43,7 +43,7 @@
 	submit := func(now Time, account string, priority int) uint64 {
 		next++
 		r := stream(next, now, priority)
-		r.Account, r.Deadline, r.Aim, r.Units = account, time.Hour, time.Hour, 1
+		r.Account, r.Deadline, r.LatencyTarget, r.Units = account, time.Hour, time.Hour, 1
 		s.Submit(now, r)
 		return next
 	}
--- a/internal/sched/fatal_load_test.go
+++ b/internal/sched/fatal_load_test.go
@@ -77,7 +77,7 @@
 }
 
 func fingerprintOf(n int) quarantine.Fingerprint {
-	return quarantine.Of("POST", "h", "/", "account", fmt.Append(nil, n))
+	return quarantine.NewFingerprint("POST", "h", "/", "account", fmt.Append(nil, n))
 }
 
 func (d *fatalLoadDriver) at(t Time, do func(Time)) { heap.Push(&d.agenda, simEvent{t, do}) }
@@ -110,7 +110,7 @@
 		r.done = true
 		delete(d.inFlight, k)
 		d.at(now+d.randomBetween(2*ms, 20*ms), func(at Time) {
-			d.apply(at, d.s.Finish(at, Outcome{Key: k, Result: Ended}))
+			d.apply(at, d.s.Finish(at, Outcome{Key: k, Result: ServerEnded}))
 		})
 		if r.fatal == nil {
 			d.retryOnce(now, r)
@@ -136,7 +136,7 @@
 	r := &fatalRun{fatal: fatal, isRetry: isRetry}
 	r.Key, r.Service, r.Fingerprint = Key{Holder: d.next % 7, ID: d.next}, engine, f
 	r.PromptTokens, r.OutputTokens = 500, 40+d.rng.IntN(300)
-	r.Arrived, r.Aim, r.Deadline = now, now+800*ms, now+8*time.Second
+	r.Arrived, r.LatencyTarget, r.Deadline = now, now+800*ms, now+8*time.Second
 	d.inFlight[r.Key] = r
 	out, _ := d.s.Submit(now, r.Request)
 	d.apply(now, out)
@@ -166,7 +166,7 @@
 func (d *fatalLoadDriver) finishRevoked(now Time, r *fatalRun) {
 	r.done = true
 	delete(d.inFlight, r.Key)
-	d.at(now+3*ms, func(at Time) { d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Left})) })
+	d.at(now+3*ms, func(at Time) { d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: CallerLeft})) })
 }
 
 func (d *fatalLoadDriver) startRun(now Time, r *fatalRun, server string) {
@@ -196,7 +196,7 @@
 		}
 		d.served++
 		delete(d.inFlight, r.Key)
-		d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: OK, First: 100 * ms, Pace: 7 * ms}))
+		d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: OK, FirstEvent: 100 * ms, TokenTime: 7 * ms}))
 	})
 }
 
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -33,8 +33,8 @@
 	p := fastest.predictIdle(svc, r)
 	reqs := requirements{byDeadline: now+p.total <= r.Deadline}
 	if svc.Engine {
-		reqs.byTarget = s.policy.AwaitOnTime && now+p.first <= r.Aim
-		reqs.limitPause = s.policy.SparePauses && p.prefill+svc.eventTime(fastest) <= r.MaxPause
+		reqs.byTarget = s.policy.WaitForLatencyTarget && now+p.first <= r.LatencyTarget
+		reqs.limitPause = s.policy.LimitStreamPauses && p.prefill+svc.eventTime(fastest) <= r.MaxPause
 	}
 	reqs.deadlineUnreachable = svc.Engine && !reqs.byDeadline
 	reqs.worthWaiting = reqs.byDeadline || reqs.byTarget || reqs.limitPause
@@ -46,7 +46,7 @@
 // late at srv is better for r than being later elsewhere.
 func (reqs requirements) metBy(now Time, svc *service, srv *server, r *Request) bool {
 	p := srv.predictIdle(svc, r)
-	if reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.Aim {
+	if reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.LatencyTarget {
 		return false
 	}
 	return !reqs.limitPause || float64(r.PromptTokens) <= srv.prefillHeadroom(now, svc)
@@ -121,7 +121,7 @@
 		return true
 	}
 	p := c.fastestFree.predictIdle(svc, r)
-	return !(reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.Aim ||
+	return !(reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.LatencyTarget ||
 		reqs.limitPause && float64(r.PromptTokens) > c.prefillHeadroom)
 }
 
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -51,7 +51,7 @@
 // With strict priority order the last priority gets nothing through a long overload: its callers are
 // refused twice and give up, although its whole work is a tenth of what the priorities before it take.
 func (s *Scheduler) fillUnderserved(now Time, svc *service, c *candidates) {
-	if s.policy.FloorShare <= 0 || len(svc.queue.priorityQueues) < 2 {
+	if s.policy.MinPriorityShare <= 0 || len(svc.queue.priorityQueues) < 2 {
 		return
 	}
 	total := 0.0
@@ -59,7 +59,7 @@
 		total += pq.allocated.valueAt(now)
 	}
 	for _, pq := range svc.queue.priorityQueues[1:] {
-		if now >= pq.nextShareCheck && !s.fillUpToShare(now, svc, pq, c, s.policy.FloorShare*total) {
+		if now >= pq.nextShareCheck && !s.fillUpToShare(now, svc, pq, c, s.policy.MinPriorityShare*total) {
 			pq.nextShareCheck = now + minShareRetryInterval
 		}
 		if len(c.free) == 0 {
@@ -74,8 +74,8 @@
 		if pq.allocated.valueAt(now) >= maxTime {
 			return false, true
 		}
-		tooEarly := float64(now-w.Arrived) < minShareWaitFraction*float64(w.Aim-w.Arrived)
-		if tooEarly || now+svc.idleTimeToFirstEvent(svc.typicalTokenTime(), &w.Request) > w.Aim {
+		tooEarly := float64(now-w.Arrived) < minShareWaitFraction*float64(w.LatencyTarget-w.Arrived)
+		if tooEarly || now+svc.idleTimeToFirstEvent(svc.typicalTokenTime(), &w.Request) > w.LatencyTarget {
 			return false, false
 		}
 		drop = s.tryPlace(now, svc, c, w)
--- a/internal/sched/handover_test.go
+++ b/internal/sched/handover_test.go
@@ -65,7 +65,7 @@
 	id := uint64(len(d.arrivals) + 1)
 	d.arrivals[id] = now
 	out, _ := d.s.Submit(now, Request{
-		Key: Key{Holder: 1, ID: id}, Service: "app", Arrived: now, Aim: now + 300*ms, Deadline: now + plainTimeout,
+		Key: Key{Holder: 1, ID: id}, Service: "app", Arrived: now, LatencyTarget: now + 300*ms, Deadline: now + plainTimeout,
 	})
 	d.apply(now, out)
 	if next := now + time.Duration(d.rng.ExpFloat64()/plainRate*float64(time.Second)); next < plainLength {
@@ -108,7 +108,7 @@
 		d.late++
 	}
 	d.at(now+networkDelay, func(now Time) {
-		d.apply(now, d.s.Finish(now, Outcome{Key: o.Key, Result: OK, First: now - networkDelay - sent}))
+		d.apply(now, d.s.Finish(now, Outcome{Key: o.Key, Result: OK, FirstEvent: now - networkDelay - sent}))
 	})
 }
 
--- a/internal/sched/inventory.go
+++ b/internal/sched/inventory.go
@@ -80,7 +80,7 @@
 			if svc == nil {
 				svc = &service{Service: Service{Name: spec.Service}, versions: s.versionsOf(spec.Service)}
 			}
-			s.servers[spec.ID] = newServer(now, spec, svc, s.policy.TimeOut)
+			s.servers[spec.ID] = newServer(now, spec, svc, s.policy.EjectionTime)
 			s.servers[spec.ID].hashFraction = hashFraction(s.owner, spec.ID)
 			s.applyNotice(now, s.servers[spec.ID])
 			continue
--- a/internal/sched/learned.go
+++ b/internal/sched/learned.go
@@ -19,12 +19,12 @@
 	return out
 }
 
-// Teach imports what another scheduler has learned.
+// ImportLearned imports what another scheduler has learned.
 //
 // Engines differ in speed by a factor of three and don't report it. Without this, a host that
 // takes over from a lost home would send long prompts to slow engines in the seconds in
 // which most requests wait.
-func (s *Scheduler) Teach(learned []Learned) {
+func (s *Scheduler) ImportLearned(learned []Learned) {
 	for _, l := range learned {
 		srv := s.servers[l.Server]
 		if srv == nil || l.TokenTime < minTokenTime || l.TokenTime > maxTokenTime {
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -139,7 +139,7 @@
 	r.Service, r.Priority = engine, kind.priority
 	r.PromptTokens = int(d.rng.ExpFloat64() * float64(kind.prompt))
 	r.length, r.OutputTokens = d.lengths(kind.output)
-	r.Aim, r.Deadline = now+kind.aim, now+kind.deadline
+	r.LatencyTarget, r.Deadline = now+kind.aim, now+kind.deadline
 	d.all = append(d.all, r)
 	d.submit(now, r)
 	if now < burstLength {
@@ -150,11 +150,11 @@
 func (d *loadSimulation) submit(now Time, r *loadRequest) {
 	d.next++
 	r.Key, r.Arrived = Key{Holder: 1, ID: d.next}, now
-	r.LeavesAt = now + loadKinds[r.kind].callerTimeout
+	r.CallerTimeoutAt = now + loadKinds[r.kind].callerTimeout
 	d.outstanding[r.ID] = r
 	out, _ := d.s.Submit(now, r.Request)
 	d.apply(now, out)
-	d.at(r.LeavesAt, func(now Time) { d.abandon(now, r.Key) })
+	d.at(r.CallerTimeoutAt, func(now Time) { d.abandon(now, r.Key) })
 }
 
 func (d *loadSimulation) apply(now Time, out []Decision) {
@@ -208,7 +208,7 @@
 		default:
 			d.results[r.kind].late++
 		}
-		d.apply(now, d.s.Finish(now, Outcome{Key: r.Key, Result: OK, First: first, Pace: pace}))
+		d.apply(now, d.s.Finish(now, Outcome{Key: r.Key, Result: OK, FirstEvent: first, TokenTime: pace}))
 	})
 }
 
@@ -257,7 +257,7 @@
 var _ = Describe("a burst of answers whose lengths differ a hundredfold", func() {
 	served := func(seed uint64, weight float64) (n int, results [3]loadResult) {
 		d := newLoadSimulation(seed)
-		d.s.policy.LengthWeight = weight
+		d.s.policy.LengthDelayWeight = weight
 		d.lengths = d.estimatedLength
 		d.run()
 		for _, r := range d.results {
@@ -270,7 +270,7 @@
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("serves more callers by letting short answers go first (seed %d)", seed), func() {
 			without, before := served(seed, 0)
-			with, after := served(seed, DefaultPolicy().LengthWeight)
+			with, after := served(seed, DefaultPolicy().LengthDelayWeight)
 			fmt.Fprintf(GinkgoWriter, "%d %+v\n%d %+v\n", without, before, with, after)
 			Expect(float64(with)).To(BeNumerically(">", 1.03*float64(without)))
 			Expect(after[0].onTime()).To(BeNumerically(">", 0.9))
@@ -325,7 +325,7 @@
 		s.Submit(0, stream(1, 0, 0))
 		longStream := stream(2, 0, 0)
 		longStream.OutputTokens, longStream.Deadline = 800, 15*time.Second
-		longStream.Aim = longStream.Deadline // it stays on time; otherwise it would move behind those that are
+		longStream.LatencyTarget = longStream.Deadline // it stays on time; otherwise it would move behind those that are
 		s.Submit(0, longStream)
 		running := uint64(1)
 		for id, now := uint64(3), 100*ms; running != longStream.ID; id, now = id+1, now+100*ms {
--- a/internal/sched/notices.go
+++ b/internal/sched/notices.go
@@ -20,7 +20,7 @@
 	newlyLeaving := false
 	for _, r := range records {
 		s.applyBackoff(now, holder, r)
-		r.Rest = 0
+		r.Backoff = 0
 		known := s.notices[r.Server]
 		merged := known.merge(serverNotice{r.Notice, now - r.Age})
 		s.notices[r.Server] = merged
@@ -31,7 +31,7 @@
 		changes = append(changes, change)
 		if srv := s.servers[r.Server]; srv != nil {
 			s.applyNotice(now, srv)
-			newlyLeaving = newlyLeaving || change.Leaves()
+			newlyLeaving = newlyLeaving || change.StartsLeaving()
 		}
 	}
 	if newlyLeaving {
@@ -55,20 +55,20 @@
 // for.
 func (s *Scheduler) applyBackoff(now Time, holder uint64, r notice.Record) {
 	srv := s.servers[r.Server]
-	if srv == nil || r.Rest <= 0 {
+	if srv == nil || r.Backoff <= 0 {
 		return
 	}
 	if srv.backoffs == nil {
 		srv.backoffs = map[uint64]Time{}
 	}
 	maps.DeleteFunc(srv.backoffs, func(_ uint64, until Time) bool { return now >= until })
-	srv.backoffs[holder] = max(srv.backoffs[holder], now+min(r.Rest, notice.MaxRest))
+	srv.backoffs[holder] = max(srv.backoffs[holder], now+min(r.Backoff, notice.MaxBackoff))
 }
 
 // allBackedOff reports whether every usable server that w may be sent to has asked its holder
 // to back off for longer than w may wait.
 func (s *Scheduler) allBackedOff(now Time, svc *service, w *waiting) bool {
-	latest := now + time.Duration(float64(w.Deadline-w.Arrived)*s.policy.WaitShare)
+	latest := now + time.Duration(float64(w.Deadline-w.Arrived)*s.policy.MaxWaitShare)
 	found := false
 	for _, srv := range svc.servers {
 		if !srv.usable(now) || slices.Contains(w.Avoid, srv.ID) {
@@ -88,7 +88,7 @@
 	if current.Leaving {
 		srv.Draining, srv.leaving = true, true
 	}
-	if !current.Limit.Named {
+	if !current.Limit.Valid {
 		srv.pacer = pacer{}
 		return
 	}
@@ -98,14 +98,14 @@
 // forgetNotices drops old notices of servers that are not listed.
 func (s *Scheduler) forgetNotices(now Time) {
 	for id, n := range s.notices {
-		if s.servers[id] == nil && now-n.at > notice.KeptUnlisted {
+		if s.servers[id] == nil && now-n.at > notice.UnlistedRetention {
 			delete(s.notices, id)
 		}
 	}
 }
 
-// Limited returns the number of servers with a stated rate limit.
-func (s *Scheduler) Limited() (n int) {
+// LimitedServers returns the number of servers with a stated rate limit.
+func (s *Scheduler) LimitedServers() (n int) {
 	for _, srv := range s.servers {
 		if srv.pacer.limited() {
 			n++
--- a/internal/sched/notices_test.go
+++ b/internal/sched/notices_test.go
@@ -12,7 +12,7 @@
 
 // limitRecord is a notice of a server that states a rate limit.
 func limitRecord(server string, perSecond float64, age time.Duration) notice.Record {
-	return notice.Record{Server: server, Age: age, Notice: notice.Notice{Limit: notice.Limit{Named: true, PerSecond: perSecond}}}
+	return notice.Record{Server: server, Age: age, Notice: notice.Notice{Limit: notice.Limit{Valid: true, PerSecond: perSecond}}}
 }
 
 // newOneServerScheduler returns the scheduler of a host with one plain server of 8 slots.
@@ -34,7 +34,7 @@
 		for _, d := range append(out, s.Tick(now)...) {
 			if d.Reason == 0 {
 				sends = append(sends, now)
-				s.Finish(now, Outcome{Key: d.Key, Result: OK, First: ms})
+				s.Finish(now, Outcome{Key: d.Key, Result: OK, FirstEvent: ms})
 			}
 		}
 	}
@@ -113,9 +113,9 @@
 		s := newOneServerScheduler(1, home)
 		s.LearnNotices(0, 1, []notice.Record{limitRecord("a", 1, 0)})
 		for id := range uint64(3) {
-			s.Adopt(0, Run{Key: Key{Holder: 2, ID: id}, Service: plain, Server: "a"})
+			s.Adopt(0, AdoptedRun{Key: Key{Holder: 2, ID: id}, Service: plain, Server: "a"})
 		}
-		s.Adopt(0, Run{Key: Key{Holder: 2, ID: 9}, Service: plain, Server: "a", Elapsed: 5 * time.Second})
+		s.Adopt(0, AdoptedRun{Key: Key{Holder: 2, ID: 9}, Service: plain, Server: "a", Elapsed: 5 * time.Second})
 		Expect(len(sendsUnderLoad(s, 0, 3*time.Second, 10*ms, nil))).To(BeZero())
 		Expect(len(sendsUnderLoad(s, 3*time.Second, 5*time.Second, 10*ms, nil))).To(BeNumerically(">", 0))
 	})
@@ -131,7 +131,7 @@
 	It("gets all its slots back as soon as a newer answer states no limit, whatever older ones say", func() {
 		s := newOneServerScheduler(1, home)
 		s.LearnNotices(time.Second, 1, []notice.Record{limitRecord("a", 1, 0)})
-		Expect(s.Limited()).To(Equal(1))
+		Expect(s.LimitedServers()).To(Equal(1))
 		changes := s.LearnNotices(3*time.Second, 1, []notice.Record{{Server: "a", Age: time.Second}})
 		Expect(changes).To(HaveLen(1))
 		Expect(s.LearnNotices(3*time.Second, 1, []notice.Record{limitRecord("a", 1, 1500*ms)})).To(BeEmpty())
@@ -142,14 +142,14 @@
 		s := newOneServerScheduler(1, home)
 		s.LearnNotices(0, 1, []notice.Record{limitRecord("b", 1, 0)})
 		s.SetServers(time.Second, []Server{{ID: "b", Service: plain, Address: "b", Slots: 8}})
-		Expect(s.Limited()).To(Equal(1))
+		Expect(s.LimitedServers()).To(Equal(1))
 	})
 
 	// Callers must not wait for a server limited to one request per second while others are idle.
 	It("is not waited for while a slower server is idle", func() {
 		s := newScheduler(2, 8)
 		s.LearnNotices(0, 1, []notice.Record{limitRecord("e0", 1, 0)})
-		s.Teach([]Learned{{Server: "e0", TokenTime: 2 * ms}, {Server: "e1", TokenTime: 100 * ms}})
+		s.ImportLearned([]Learned{{Server: "e0", TokenTime: 2 * ms}, {Server: "e1", TokenTime: 100 * ms}})
 		for id := range uint64(4) {
 			out, _ := s.Submit(0, stream(id, 0, 0))
 			Expect(placed(out)).To(Equal([]uint64{id}))
@@ -177,7 +177,7 @@
 		s.LearnNotices(time.Second, 1, []notice.Record{limitRecord("a", 5, 0)})
 		Expect(s.LearnNotices(2*time.Second, 1, leavingRecords("a", 2*time.Second))).To(HaveLen(1))
 		Expect(sendsUnderLoad(s, 2*time.Second, 4*time.Second, 10*ms, nil)).To(BeEmpty())
-		Expect(s.Limited()).To(Equal(1))
+		Expect(s.LimitedServers()).To(Equal(1))
 	})
 
 	// Callers must not be refused while servers of a newer version are listed and the old ones
@@ -202,7 +202,7 @@
 
 var _ = Describe("a server that asks for a backoff", func() {
 	backoffRecords := func(server string, d time.Duration) []notice.Record {
-		return []notice.Record{{Server: server, Notice: notice.Notice{Rest: d}}}
+		return []notice.Record{{Server: server, Notice: notice.Notice{Backoff: d}}}
 	}
 	callFrom := func(holder, id uint64, now Time) Request {
 		r := call(id, now)
@@ -245,7 +245,7 @@
 
 	It("is not waited for while a slower server accepts requests", func() {
 		s := newScheduler(2, 8)
-		s.Teach([]Learned{{Server: "e0", TokenTime: 2 * ms}, {Server: "e1", TokenTime: 100 * ms}})
+		s.ImportLearned([]Learned{{Server: "e0", TokenTime: 2 * ms}, {Server: "e1", TokenTime: 100 * ms}})
 		s.LearnNotices(0, 1, backoffRecords("e0", 3*time.Second))
 		out, _ := s.Submit(0, stream(1, 0, 0))
 		Expect(placed(out)).To(Equal([]uint64{1}))
@@ -257,6 +257,6 @@
 			s.LearnNotices(0, holder, backoffRecords("p0", time.Second))
 		}
 		s.LearnNotices(2*time.Second, 1, backoffRecords("p0", 1e6*time.Second))
-		Expect(s.servers["p0"].backoffs).To(Equal(map[uint64]Time{1: 2*time.Second + notice.MaxRest}))
+		Expect(s.servers["p0"].backoffs).To(Equal(map[uint64]Time{1: 2*time.Second + notice.MaxBackoff}))
 	})
 })
--- a/internal/sched/ownfault.go
+++ b/internal/sched/ownfault.go
@@ -52,7 +52,7 @@
 	case OK:
 		f.recent.Remove(request)
 		return false
-	case Broken, Errored:
+	case Broken, ServerError:
 	default:
 		return false
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -16,7 +16,7 @@
 	if svc.queue.size == 0 || len(free) == 0 {
 		return
 	}
-	if s.policy.LateBehind {
+	if s.policy.DemoteLate {
 		for _, pq := range svc.queue.priorityQueues {
 			pq.demoteLate(now, svc.timeToFirstEvent.upperBound())
 		}
@@ -65,9 +65,9 @@
 		return
 	}
 	for _, pq := range svc.queue.priorityQueues {
-		head := pq.onTime[:min(len(pq.onTime), s.policy.ChoosesFrom)]
+		head := pq.onTime[:min(len(pq.onTime), s.policy.CacheChoiceWindow)]
 		for _, w := range head {
-			w.adjustedRank = w.rank - s.cacheMissCost(free[0].cache.cachedTokens(w.Parts))
+			w.adjustedRank = w.rank - s.cacheMissCost(free[0].cache.cachedTokens(w.PromptParts))
 			if free[0].idleConnections.hasIdle(now, w.Holder) {
 				w.adjustedRank -= s.policy.ConnectCost
 			}
@@ -78,7 +78,7 @@
 
 // cacheMissCost is the cost of prefilling tokens of a prompt again.
 func (s *Scheduler) cacheMissCost(tokens int) time.Duration {
-	return time.Duration(float64(tokens) * initialPrefillRatio * float64(defaultTokenTime) * s.policy.MissWeight)
+	return time.Duration(float64(tokens) * initialPrefillRatio * float64(defaultTokenTime) * s.policy.CacheMissWeight)
 }
 
 // concurrencyLimit is how many requests srv may have at once from this scheduler. A
@@ -91,7 +91,7 @@
 	if s.policy.Handovers {
 		slots += svc.handoverSlots(srv)
 	}
-	share := s.policy.Cap * s.share.Servers * slots
+	share := s.policy.ConcurrencyFactor * s.share.Servers * slots
 	n := int(share)
 	if srv.hashFraction < share-float64(n) || n == 0 && srv.pacer.limited() {
 		n++
@@ -108,7 +108,7 @@
 	var best *server
 	bestCost, bestFits := time.Duration(math.MaxInt64), false
 	reqs := s.requirementsOf(now, svc, c.fastestUsable, r)
-	if s.policy.EndsInTime && reqs.deadlineUnreachable && c.contended(svc) {
+	if s.policy.RequireDeadline && reqs.deadlineUnreachable && c.contended(svc) {
 		return nil
 	}
 	if !reqs.satisfiable(now, svc, c, r) {
@@ -151,13 +151,13 @@
 		c += s.policy.ConnectCost
 	}
 	if svc.Engine {
-		c += s.cacheMissCost(r.PromptTokens - srv.cache.cachedTokens(r.Parts))
+		c += s.cacheMissCost(r.PromptTokens - srv.cache.cachedTokens(r.PromptParts))
 	}
 	penalty := s.policy.FailurePenalty
 	if !svc.Engine {
 		penalty = plainFailurePenalty
 	}
-	if r.Repeat {
+	if r.Retry {
 		penalty *= repeatPenaltyFactor
 	}
 	return c + time.Duration(srv.failureShare(now)*float64(penalty)) + s.suspectCost(srv, r)
@@ -175,7 +175,7 @@
 	r := srv.start(now, svc, &req)
 	srv.pacer.take(now)
 	if v := svc.versions; v.trial != nil {
-		v.trial.Reached(srv.Version == v.order.To)
+		v.trial.CountRequest(srv.Version == v.order.To)
 	}
 	r.class, r.countedAsServed = w.class, true
 	s.runs[w.Key] = r
@@ -242,7 +242,7 @@
 func (s *Scheduler) hasFullQuotas() bool { return s.share.Limits >= 1 }
 
 func (s *Scheduler) maxQuotaWait(r *Request) time.Duration {
-	return time.Duration(float64(r.Deadline-r.Arrived) * s.policy.QuotaWaitShare)
+	return time.Duration(float64(r.Deadline-r.Arrived) * s.policy.MaxQuotaWaitShare)
 }
 
 // refuseIfOverdue refuses w when a longer wait would leave too little time for its run, or
@@ -260,14 +260,14 @@
 		return s.refuseIfOverQuota(now, w, quota)
 	}
 	since := w.Arrived
-	if w.Repeat {
+	if w.Retry {
 		// The first run has used up time; this run has the time that is left.
 		since = w.submittedAt
 		window = w.Deadline - since
 	}
-	maxWait := time.Duration(float64(window) * s.policy.WaitShare)
-	if w.LeavesAt > 0 {
-		maxWait = min(maxWait, w.LeavesAt-svc.timeToFirstEvent.upperBound()-callerTimeoutMargin-since)
+	maxWait := time.Duration(float64(window) * s.policy.MaxWaitShare)
+	if w.CallerTimeoutAt > 0 {
+		maxWait = min(maxWait, w.CallerTimeoutAt-svc.timeToFirstEvent.upperBound()-callerTimeoutMargin-since)
 	}
 	if now-since > maxWait {
 		why := Overload
@@ -297,5 +297,5 @@
 // retryAfter is the delay after which the caller of a request that found no room in time
 // should retry.
 func (s *Scheduler) retryAfter(now Time, w *waiting) time.Duration {
-	return max(s.policy.RetryAfter, time.Duration(float64(w.Deadline-now)*s.policy.ReturnShare))
+	return max(s.policy.RetryAfter, time.Duration(float64(w.Deadline-now)*s.policy.RetryAfterShare))
 }
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -62,7 +62,7 @@
 	withPrompt := func(id uint64, prompt int) Request {
 		r := stream(id, 0, 0)
 		r.PromptTokens, r.OutputTokens = prompt, 30
-		r.Aim, r.Deadline, r.MaxPause = time.Second, 15*time.Second, 500*ms
+		r.LatencyTarget, r.Deadline, r.MaxPause = time.Second, 15*time.Second, 500*ms
 		return r
 	}
 
@@ -127,7 +127,7 @@
 		return r
 	}
 	finishFrom := func(s *Scheduler, now Time, holder, id uint64) {
-		s.Finish(now, Outcome{Key: Key{Holder: holder, ID: id}, Result: OK, First: 30 * ms, Pace: 5 * ms})
+		s.Finish(now, Outcome{Key: Key{Holder: holder, ID: id}, Result: OK, FirstEvent: 30 * ms, TokenTime: 5 * ms})
 	}
 
 	It("attract the next request of the same holder while they are open", func() {
@@ -161,7 +161,7 @@
 // sharedPrompt is a stream whose prompt begins with a shared part of 900 tokens.
 func sharedPrompt(id uint64, now Time, part uint64) Request {
 	r := stream(id, now, 0)
-	r.Parts = []Part{{Key: part, Tokens: 900}, {Key: 1000 + id, Tokens: 100}}
+	r.PromptParts = []Part{{Key: part, Tokens: 900}, {Key: 1000 + id, Tokens: 100}}
 	return r
 }
 
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -4,23 +4,23 @@
 
 // Policy holds the tunable parameters of the scheduler's decisions.
 type Policy struct {
-	// Cap limits the requests at a server, as a multiple of its slots. Engines admit
+	// ConcurrencyFactor limits the requests at a server, as a multiple of its slots. Engines admit
 	// requests in order of arrival, so a request already there cannot be overtaken.
-	Cap float64
-	// WaitShare is the fraction of its time that a request may wait. The rest must
+	ConcurrencyFactor float64
+	// MaxWaitShare is the fraction of its time that a request may wait. The rest must
 	// suffice for its run, or for one more attempt by its caller.
-	WaitShare float64
-	// QuotaWaitShare is the fraction of its time that a request may wait for its
+	MaxWaitShare float64
+	// MaxQuotaWaitShare is the fraction of its time that a request may wait for its
 	// account's quota. Most quotas refill within it, and a refused caller would come
 	// back later than that.
-	QuotaWaitShare float64
+	MaxQuotaWaitShare float64
 	// RetryAfter is the minimum delay that the caller of a refused request is told to
-	// wait before it retries; ReturnShare sets the delay as a fraction of the time
+	// wait before it retries; RetryAfterShare sets the delay as a fraction of the time
 	// left. Overload lasts for seconds, so a caller that retries at once joins the
 	// same queue again and has used up its attempt. Callers honour delays of up to a
 	// third of their time.
-	RetryAfter  time.Duration
-	ReturnShare float64
+	RetryAfter      time.Duration
+	RetryAfterShare float64
 	// RetryRatio and RetryBurst limit the requests that are sent a second time: as a
 	// fraction of a service's requests, and as a number beyond that fraction. Both
 	// stay below the platform's limit over all hosts and leave room for a second home
@@ -31,87 +31,87 @@
 	// FailurePenalty is added to the cost of a server, in predicted time, when all
 	// its latest answers failed.
 	FailurePenalty time.Duration
-	// LengthWeight delays a request behind others of its priority by this multiple of
+	// LengthDelayWeight delays a request behind others of its priority by this multiple of
 	// the time that an engine of typical speed takes to generate its answer. Answers
 	// differ a hundredfold in length, and in a burst one long answer keeps many
 	// callers waiting.
-	LengthWeight float64
-	// LengthMost limits that delay, as a fraction of the time that the request may
+	LengthDelayWeight float64
+	// MaxLengthDelayShare limits that delay, as a fraction of the time that the request may
 	// wait, so that long answers are delayed but not starved.
-	LengthMost float64
-	// MissWeight is the cost of a prompt token that a server has to prefill although
+	MaxLengthDelayShare float64
+	// CacheMissWeight is the cost of a prompt token that a server has to prefill although
 	// another server may have it cached, in multiples of the time to prefill it: it
 	// also evicts other prompt parts from the server's memory.
-	MissWeight float64
+	CacheMissWeight float64
 	// TotalWeight weighs a request's predicted end against its first token.
 	TotalWeight float64
-	// ChoosesFrom is how many waiting requests a server with room may choose from, by
+	// CacheChoiceWindow is how many waiting requests a server with room may choose from, by
 	// what it has cached of their prompts.
-	ChoosesFrom int
-	// HopelessFrom is the minimum queue length of a priority at which an arriving
+	CacheChoiceWindow int
+	// EarlyRejectionMinQueue is the minimum queue length of a priority at which an arriving
 	// request may be refused at once. With fewer waiting requests, the time until a
 	// slot opens is mostly chance.
-	HopelessFrom int
-	// LateBehind moves requests that can no longer meet their latency target behind
+	EarlyRejectionMinQueue int
+	// DemoteLate moves requests that can no longer meet their latency target behind
 	// those that can.
-	LateBehind bool
-	// AwaitOnTime lets a request wait for a server at which it can meet its latency
+	DemoteLate bool
+	// WaitForLatencyTarget lets a request wait for a server at which it can meet its latency
 	// target rather than take one at which it can't.
-	AwaitOnTime bool
-	// SparePauses lets a request wait rather than take a server at which it would
+	WaitForLatencyTarget bool
+	// LimitStreamPauses lets a request wait rather than take a server at which it would
 	// pause the other streams for longer than their callers accept.
-	SparePauses bool
+	LimitStreamPauses bool
 	// ConnectCost is the cost of a new connection from a holder to a server. Opening
 	// one takes some milliseconds of the server, during which it occupies a slot, and
 	// servers limit their connections. It stays below what a slower server costs a
 	// caller.
 	ConnectCost time.Duration
-	// FloorShare is the minimum share of the servers' time that a less urgent priority
+	// MinPriorityShare is the minimum share of the servers' time that a less urgent priority
 	// gets while requests that can meet their latency target wait there. Strict
 	// priority order starves the last priority in a long overload, even where its
 	// requests are so short that the urgent ones would hardly notice them.
-	FloorShare float64
-	// EndsInTime withholds a slot that others wait for from a request that is expected
+	MinPriorityShare float64
+	// RequireDeadline withholds a slot that others wait for from a request that is expected
 	// to end after its deadline even at the fastest engine.
-	EndsInTime bool
-	// SizeFloor is how often the requests of a size class are placed at least, as a
+	RequireDeadline bool
+	// MinSizeClassShare is how often the requests of a size class are placed at least, as a
 	// fraction of how often all requests of their priority are.
-	SizeFloor float64
+	MinSizeClassShare float64
 	// Handovers gives the servers of plain services more concurrent placements than
 	// slots, so that no slot is idle while one call follows another; see
 	// handoverSlots.
 	Handovers bool
-	// TimeOut is the first ejection time of a server that does not answer. Each further
+	// EjectionTime is the first ejection time of a server that does not answer. Each further
 	// ejection without an answer in between doubles it, up to four times.
-	TimeOut time.Duration
+	EjectionTime time.Duration
 }
 
 // DefaultPolicy returns the policy that hosts run by default.
 func DefaultPolicy() Policy {
 	return Policy{
-		Cap:            1,
-		WaitShare:      0.3,
-		QuotaWaitShare: 0.3,
-		RetryAfter:     300 * time.Millisecond,
-		ReturnShare:    0.3,
-		RetryRatio:     0.15,
-		RetryBurst:     20,
-		FailurePenalty: 2 * time.Second,
-		LengthWeight:   1,
-		LengthMost:     0.3,
-		MissWeight:     12,
-		TotalWeight:    0.2,
-		ChoosesFrom:    16,
-		HopelessFrom:   24,
-		LateBehind:     true,
-		AwaitOnTime:    true,
-		SparePauses:    true,
-		ConnectCost:    120 * time.Millisecond,
-		FloorShare:     0.05,
-		EndsInTime:     true,
-		SizeFloor:      0.6,
-		Handovers:      true,
-		TimeOut:        1500 * time.Millisecond,
+		ConcurrencyFactor:      1,
+		MaxWaitShare:           0.3,
+		MaxQuotaWaitShare:      0.3,
+		RetryAfter:             300 * time.Millisecond,
+		RetryAfterShare:        0.3,
+		RetryRatio:             0.15,
+		RetryBurst:             20,
+		FailurePenalty:         2 * time.Second,
+		LengthDelayWeight:      1,
+		MaxLengthDelayShare:    0.3,
+		CacheMissWeight:        12,
+		TotalWeight:            0.2,
+		CacheChoiceWindow:      16,
+		EarlyRejectionMinQueue: 24,
+		DemoteLate:             true,
+		WaitForLatencyTarget:   true,
+		LimitStreamPauses:      true,
+		ConnectCost:            120 * time.Millisecond,
+		MinPriorityShare:       0.05,
+		RequireDeadline:        true,
+		MinSizeClassShare:      0.6,
+		Handovers:              true,
+		EjectionTime:           1500 * time.Millisecond,
 	}
 }
 
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -15,7 +15,7 @@
 }
 
 // priorityQueue holds the waiting requests of one priority. onTime is sorted by rank, except
-// for its first Policy.ChoosesFrom requests, which preferCached sorts for the server that
+// for its first Policy.CacheChoiceWindow requests, which preferCached sorts for the server that
 // chose last. A request that can no longer meet its latency target moves to late, behind all
 // that still can: serving it first would only make the next one late too.
 type priorityQueue struct {
@@ -116,7 +116,7 @@
 func (pq *priorityQueue) demoteLate(now Time, timeToFirstEvent time.Duration) {
 	kept := pq.onTime[:0]
 	for _, w := range pq.onTime {
-		if w.Aim < now+timeToFirstEvent {
+		if w.LatencyTarget < now+timeToFirstEvent {
 			pq.late = append(pq.late, w)
 		} else {
 			kept = append(kept, w)
@@ -132,7 +132,7 @@
 func (pq *priorityQueue) shouldRejectEarly(now Time, timeToFirstEvent time.Duration, w *waiting) bool {
 	placementRate := pq.placementRate.valueAt(now)
 	ahead := float64(slices.Index(pq.onTime, w))
-	if ahead < placementRate*(w.Aim-timeToFirstEvent-now).Seconds() {
+	if ahead < placementRate*(w.LatencyTarget-timeToFirstEvent-now).Seconds() {
 		return false
 	}
 	return pq.arrivalRate.valueAt(now) > earlyRejectionRatio*placementRate
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -39,7 +39,7 @@
 const minRemainingShare = 0.5
 
 // SetOrder records an operator's order to move a service to a version. Servers of that version
-// get no requests until StartTrial or SettleOrder sets the phase of the order.
+// get no requests until StartTrial or SetOrderPhase sets the phase of the order.
 func (s *Scheduler) SetOrder(o rollout.Order) {
 	v := s.versionsOf(o.Service)
 	if v.order != nil && v.order.Row >= o.Row {
@@ -72,8 +72,8 @@
 	s.groupServers()
 }
 
-// SettleOrder sets the phase of an order as reported by the store or by the home.
-func (s *Scheduler) SettleOrder(o rollout.Order, p rollout.Phase) {
+// SetOrderPhase sets the phase of an order as reported by the store or by the home.
+func (s *Scheduler) SetOrderPhase(o rollout.Order, p rollout.Phase) {
 	v := s.versionsOf(o.Service)
 	if v.order == nil || v.order.Row != o.Row {
 		return
@@ -82,7 +82,7 @@
 	case rollout.Moved:
 		v.phase, v.trial = phaseMoved, nil
 		v.current, v.maxListed = map[string]bool{o.To: true}, 0
-	case rollout.TakenBack:
+	case rollout.PhaseRolledBack:
 		v.phase, v.trial = phaseRolledBack, nil
 		v.rolledBack[o.To] = true
 		delete(v.current, o.To)
@@ -94,13 +94,13 @@
 	s.groupServers()
 }
 
-// Settled lists the orders whose phase this scheduler knows.
-func (s *Scheduler) Settled() []rollout.Standing {
-	phases := map[orderPhase]rollout.Phase{phaseTrying: rollout.Trying, phaseMoving: rollout.Moving, phaseMoved: rollout.Moved, phaseRolledBack: rollout.TakenBack}
-	var out []rollout.Standing
+// OrderPhases lists the orders whose phase this scheduler knows, with the phase.
+func (s *Scheduler) OrderPhases() []rollout.Status {
+	phases := map[orderPhase]rollout.Phase{phaseTrying: rollout.Trying, phaseMoving: rollout.Moving, phaseMoved: rollout.Moved, phaseRolledBack: rollout.PhaseRolledBack}
+	var out []rollout.Status
 	for _, v := range s.versions {
 		if v.order != nil && v.phase != phaseUnknown {
-			out = append(out, rollout.Standing{Order: *v.order, Phase: phases[v.phase]})
+			out = append(out, rollout.Status{Order: *v.order, Phase: phases[v.phase]})
 		}
 	}
 	return out
@@ -116,27 +116,28 @@
 	s.groupServers()
 }
 
-// Hold applies an operator's wish to pause or resume a trial or to roll the version back.
-func (s *Scheduler) Hold(service string, wish rollout.Wish) {
+// ApplyCommand applies an operator's command to pause or resume a trial or to roll the version
+// back.
+func (s *Scheduler) ApplyCommand(service string, wish rollout.Command) {
 	v := s.versions[service]
 	if v == nil || v.trial == nil {
 		return
 	}
-	if v.trial.Obey(wish) {
+	if v.trial.Apply(wish) {
 		s.recordRolloutStep(v)
 	}
 }
 
-// RolloutNews returns the steps that trials took since the last call.
-func (s *Scheduler) RolloutNews() []rollout.Standing {
+// TakeRolloutSteps returns the steps that trials took since the last call.
+func (s *Scheduler) TakeRolloutSteps() []rollout.Status {
 	steps := s.rollouts
 	s.rollouts = nil
 	return steps
 }
 
 // Rollouts lists the trials that this scheduler runs.
-func (s *Scheduler) Rollouts() []rollout.Standing {
-	var out []rollout.Standing
+func (s *Scheduler) Rollouts() []rollout.Status {
+	var out []rollout.Status
 	for _, v := range s.versions {
 		if v.trial != nil {
 			out = append(out, v.trial.Standing())
@@ -162,7 +163,7 @@
 	switch v.trial.Phase() {
 	case rollout.Moving:
 		v.phase = phaseMoving
-	case rollout.TakenBack:
+	case rollout.PhaseRolledBack:
 		v.phase = phaseRolledBack
 		v.rolledBack[v.order.To] = true
 	case rollout.Moved:
@@ -277,7 +278,7 @@
 // Retries are excluded: their callers have already waited for one failure.
 func (s *Scheduler) placeOnTrial(now Time, svc *service, srv *server, w *waiting) bool {
 	r := &w.Request
-	if r.Repeat || !svc.versions.trial.Wants(r.Route) || !srv.hasMemory(svc, r) ||
+	if r.Retry || !svc.versions.trial.RouteAllowed(r.Route) || !srv.hasMemory(svc, r) ||
 		s.quotaWait(now, r) > 0 || s.suspects.Has(r.Fingerprint) {
 		return false
 	}
@@ -291,11 +292,11 @@
 // completes, and their runs with them.
 func (s *Scheduler) offerNewVersion(now Time, svc *service, w *waiting) bool {
 	trial := svc.versions.trial
-	if trial == nil || w.Repeatable || w.Repeat || !trial.MayTake() {
+	if trial == nil || w.Interruptible || w.Retry || !trial.WithinBounds() {
 		return false
 	}
 	first := svc.idleTimeToFirstEvent(svc.typicalTokenTime(), &w.Request)
-	if !trial.Ending(now, first+time.Duration(w.OutputTokens)*svc.typicalTokenTime()) {
+	if !trial.OutlastsMove(now, first+time.Duration(w.OutputTokens)*svc.typicalTokenTime()) {
 		return false
 	}
 	for _, srv := range svc.onTrial {
@@ -317,7 +318,7 @@
 		if svc == nil {
 			continue
 		}
-		if v.trial.Pass(now, s.countOrdered(v)) || s.oldVersionIdle(v) && v.trial.Empty() {
+		if v.trial.Evaluate(now, s.countOrdered(v)) || s.oldVersionIdle(v) && v.trial.OldServersIdle() {
 			s.recordRolloutStep(v)
 		}
 	}
@@ -337,7 +338,7 @@
 // not be interrupted.
 func (s *Scheduler) oldVersionIdle(v *versions) bool {
 	for _, r := range s.runs {
-		if r.req.Service == v.order.Service && r.server.Version != v.order.To && !r.req.Repeatable {
+		if r.req.Service == v.order.Service && r.server.Version != v.order.To && !r.req.Interruptible {
 			return false
 		}
 	}
@@ -352,11 +353,11 @@
 	}
 	v := svc.versions
 	if o.Result == Unused || o.Result == Unreachable {
-		v.trial.Unreached(r.server.Version == v.order.To)
+		v.trial.UncountRequest(r.server.Version == v.order.To)
 		return
 	}
 	sample, ok := s.sample(now, svc, r, o)
-	if ok && v.trial.Learn(now, sample, s.countOrdered(v)) {
+	if ok && v.trial.AddAnswer(now, sample, s.countOrdered(v)) {
 		s.recordRolloutStep(v)
 	}
 }
@@ -370,17 +371,17 @@
 	expected := svc.idleTimeToFirstEvent(typical, r.req)
 	switch o.Result {
 	case OK:
-		out.Took = float64(o.First) / float64(expected)
-		if o.Pace > 0 {
-			out.Took = float64(o.Pace) / float64(typical)
+		out.RelativeTime = float64(o.FirstEvent) / float64(expected)
+		if o.TokenTime > 0 {
+			out.RelativeTime = float64(o.TokenTime) / float64(typical)
 		}
-		return out, o.First > 0
-	case Errored, Unblamed, Broken:
+		return out, o.FirstEvent > 0
+	case ServerError, UnattributedError, Broken:
 		out.Failed = true
 		return out, !s.suspects.Has(r.req.Fingerprint)
-	case Left:
-		out.Took = float64(now-r.placed) / float64(expected)
-		return out, o.First == 0 && out.Took > abandonedSlowFactor
+	case CallerLeft:
+		out.RelativeTime = float64(now-r.placed) / float64(expected)
+		return out, o.FirstEvent == 0 && out.RelativeTime > abandonedSlowFactor
 	}
 	return out, false
 }
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -44,25 +44,25 @@
 		at := now + time.Duration(i)*ms
 		d.next++
 		key := Key{Holder: 1, ID: d.next}
-		out, _ := d.Submit(at, Request{Key: key, Service: "app", Route: "r", Arrived: at, Aim: at + 100*ms, Deadline: at + time.Second})
+		out, _ := d.Submit(at, Request{Key: key, Service: "app", Route: "r", Arrived: at, LatencyTarget: at + 100*ms, Deadline: at + time.Second})
 		if len(out) != 1 || out[0].Reason != 0 {
 			usedVersions["refused"]++
 			continue
 		}
 		usedVersions[d.servers[out[0].Server].Version]++
 		if open = append(open, key); len(open) > atOnce {
-			d.Finish(at, Outcome{Key: open[0], Result: OK, First: 10 * ms})
+			d.Finish(at, Outcome{Key: open[0], Result: OK, FirstEvent: 10 * ms})
 			open = open[1:]
 		}
 	}
 	for _, key := range open {
-		d.Finish(now+time.Duration(calls)*ms, Outcome{Key: key, Result: OK, First: 10 * ms})
+		d.Finish(now+time.Duration(calls)*ms, Outcome{Key: key, Result: OK, FirstEvent: 10 * ms})
 	}
 	return usedVersions
 }
 
 var _ = Describe("servers of several versions", func() {
-	order := rollout.Order{Service: "app", To: "v2", Lasts: 10 * time.Second, Row: 5}
+	order := rollout.Order{Service: "app", To: "v2", Timeout: 10 * time.Second, Row: 5}
 	var d *versionDriver
 	BeforeEach(func() {
 		d = newVersionDriver()
@@ -87,9 +87,9 @@
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		Expect(d.usedVersions(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
-		d.SettleOrder(order, rollout.Trying)
+		d.SetOrderPhase(order, rollout.Trying)
 		Expect(d.usedVersions(2*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
-		d.SettleOrder(order, rollout.Moved)
+		d.SetOrderPhase(order, rollout.Moved)
 		Expect(d.usedVersions(3*time.Second, 100)).To(Equal(map[string]int{"v2": 100}))
 	})
 
@@ -98,7 +98,7 @@
 	It("get no requests for a version that was rolled back", func() {
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
-		d.SettleOrder(order, rollout.TakenBack)
+		d.SetOrderPhase(order, rollout.PhaseRolledBack)
 		Expect(d.usedVersions(time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 		d.list(2*time.Second, map[string]int{"v2": 4})
 		Expect(d.usedVersions(2*time.Second, 10)).To(Equal(map[string]int{"refused": 10}))
@@ -119,11 +119,11 @@
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.StartTrial(time.Second, order, 0, false)
-		back := rollout.Order{Service: "app", To: "v1", Lasts: 10 * time.Second, Row: 6}
+		back := rollout.Order{Service: "app", To: "v1", Timeout: 10 * time.Second, Row: 6}
 		d.SetOrder(back)
 		d.StartTrial(2*time.Second, back, 0, false)
 		d.Tick(2100 * ms)
-		Expect(d.RolloutNews()).To(ContainElement(And(HaveField("Order.To", "v1"), HaveField("Phase", rollout.Moved))))
+		Expect(d.TakeRolloutSteps()).To(ContainElement(And(HaveField("Order.To", "v1"), HaveField("Phase", rollout.Moved))))
 		Expect(d.usedVersions(3*time.Second, 100)).To(Equal(map[string]int{"v1": 100}))
 	})
 
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -21,15 +21,15 @@
 	runs     map[Key]*run
 	orphans  int
 	suspects *quarantine.Table
-	lapse    time.Duration // maximum time for which a server is still listed after its end
+	entryTTL time.Duration // maximum time for which a server is still listed after its end
 	faults   requestFailures
 	copies   map[quarantine.Fingerprint]int    // number of runs
 	review   map[quarantine.Fingerprint]string // to be judged again, by fingerprint; the value is the service
 	versions map[string]*versions              // by service
 	notices  map[string]serverNotice           // by server
 	bounds   rollout.Bounds
-	rollouts []rollout.Standing // steps since the last call of RolloutNews
-	out      []Decision         // decisions of the current call
+	rollouts []rollout.Status // steps since the last call of TakeRolloutSteps
+	out      []Decision       // decisions of the current call
 }
 
 // service is a service with its queue.
@@ -58,9 +58,9 @@
 	Sends   float64 // of the requests per second that servers state as their limit
 }
 
-// DefaultLapse is how long the entry of a server that ended stays listed when the
+// DefaultEntryTTL is how long the entry of a server that ended stays listed when the
 // platform does not state how often servers renew their entries.
-const DefaultLapse = 4500 * time.Millisecond
+const DefaultEntryTTL = 4500 * time.Millisecond
 
 // New returns a scheduler with no services.
 func New(p Policy) *Scheduler {
@@ -71,7 +71,7 @@
 		suspects: quarantine.NewTable(), faults: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
 		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]serverNotice{}, bounds: rollout.DefaultBounds(),
 	}
-	s.SetLapse(DefaultLapse)
+	s.SetEntryTTL(DefaultEntryTTL)
 	return s
 }
 
@@ -108,10 +108,10 @@
 	case s.standing(now, &r) == quarantine.Quarantined:
 		s.refuseQuarantined(now, w)
 		return s.out, false
-	case r.Repeat && !s.takeRetry(now, svc):
-		s.refuse(now, w, Budget, s.policy.RetryAfter)
+	case r.Retry && !s.takeRetry(now, svc):
+		s.refuse(now, w, RetryBudget, s.policy.RetryAfter)
 		return s.out, false
-	case !r.Repeat:
+	case !r.Retry:
 		svc.retryBudget.credit(now, s.policy.RetryRatio)
 	}
 	if wait := s.quotaWaitInQueue(now, svc, &r); s.hasFullQuotas() && wait > s.maxQuotaWait(&r) {
@@ -159,11 +159,11 @@
 // first run would be lost; and all requests at a host that decides alone, which has a
 // home again in a moment.
 func (s *Scheduler) shouldRejectEarly(now Time, svc *service, pq *priorityQueue, w *waiting) bool {
-	maxWait := time.Duration(float64(w.Deadline-w.Arrived) * s.policy.WaitShare)
-	if !svc.Engine || maxWait > earlyRejectionMaxWait || s.share.Servers < 1 || w.Repeat {
+	maxWait := time.Duration(float64(w.Deadline-w.Arrived) * s.policy.MaxWaitShare)
+	if !svc.Engine || maxWait > earlyRejectionMaxWait || s.share.Servers < 1 || w.Retry {
 		return false
 	}
-	if len(pq.onTime)+len(pq.late) < s.policy.HopelessFrom {
+	if len(pq.onTime)+len(pq.late) < s.policy.EarlyRejectionMinQueue {
 		return false
 	}
 	return pq.shouldRejectEarly(now, svc.timeToFirstEvent.upperBound(), w)
@@ -197,7 +197,7 @@
 // rank is the sort key of a request in its priority queue. A request of a size class
 // that is placed too seldom is not delayed.
 func (s *Scheduler) rank(now Time, pq *priorityQueue, w *waiting) Time {
-	if pq.sizeStats.underserved(now, w.class, s.policy.SizeFloor) {
+	if pq.sizeStats.underserved(now, w.class, s.policy.MinSizeClassShare) {
 		return w.Arrived
 	}
 	return w.Arrived + s.longAnswerDelay(&w.Request)
@@ -206,8 +206,8 @@
 // longAnswerDelay is how far a request is moved back in its priority queue for the
 // length of its answer.
 func (s *Scheduler) longAnswerDelay(r *Request) time.Duration {
-	answerTime := time.Duration(float64(r.OutputTokens) * float64(defaultTokenTime) * s.policy.LengthWeight)
-	maxDelay := time.Duration(float64(r.Deadline-r.Arrived) * s.policy.WaitShare * s.policy.LengthMost)
+	answerTime := time.Duration(float64(r.OutputTokens) * float64(defaultTokenTime) * s.policy.LengthDelayWeight)
+	maxDelay := time.Duration(float64(r.Deadline-r.Arrived) * s.policy.MaxWaitShare * s.policy.MaxLengthDelayShare)
 	return min(answerTime, maxDelay)
 }
 
@@ -228,7 +228,7 @@
 	return s.Finish(now, Outcome{Key: k, Result: Unused})
 }
 
-// Finish ends a run. With the results Pace and Stalled it updates the estimates from a
+// Finish ends a run. With the results Progress and Stalled it updates the estimates from a
 // run that goes on.
 func (s *Scheduler) Finish(now Time, o Outcome) []Decision {
 	s.out = nil
@@ -239,21 +239,21 @@
 	s.learnVersion(now, r, o)
 	s.learnServer(now, r, o)
 	s.learnEnd(now, r, o)
-	if svc := s.services[r.req.Service]; svc != nil && o.Pace > 0 {
+	if svc := s.services[r.req.Service]; svc != nil && o.TokenTime > 0 {
 		svc.typical = 0
 	}
-	if svc := s.services[r.req.Service]; svc != nil && o.First > 0 && !o.Result.Lost() {
-		svc.learnPrefillRatio(r, o.First)
+	if svc := s.services[r.req.Service]; svc != nil && o.FirstEvent > 0 && !o.Result.Lost() {
+		svc.learnPrefillRatio(r, o.FirstEvent)
 		if o.Result == OK {
-			svc.timeToFirstEvent.add(o.First)
-			svc.learnHandover(now-r.placed, o.First)
+			svc.timeToFirstEvent.add(o.FirstEvent)
+			svc.learnHandover(now-r.placed, o.FirstEvent)
 		}
 	}
-	if o.Result == Pace {
+	if o.Result == Progress {
 		r.server.endIsolation(r)
 		s.suspects.Progress(now, r.req.Fingerprint)
 	}
-	if o.Result == Pace || o.Result == Stalled {
+	if o.Result == Progress || o.Result == Stalled {
 		return nil
 	}
 	if o.Result.NotRun() {
@@ -278,18 +278,18 @@
 // learnServer updates what is known of a run's server from the run's outcome.
 func (s *Scheduler) learnServer(now Time, r *run, o Outcome) {
 	if s.faults.recordOutcome(now, r.req.Fingerprint, r.server.ID, o.Result) {
-		o.Result = Left // the outcome says nothing about the server
+		o.Result = CallerLeft // the outcome says nothing about the server
 	}
-	if (o.Result == OK || o.Result == Pace) && r.placed > r.server.endedAt {
+	if (o.Result == OK || o.Result == Progress) && r.placed > r.server.endedAt {
 		r.server.ended = false // the server has answered since, so it had not ended
 	}
 	r.server.learn(now, o)
 }
 
-// Blame counts a failure against a server: it failed a request that another server then
+// RecordServerFault counts a failure against a server: it failed a request that another server then
 // answered. A failure alone is not counted, since some requests fail at every server:
 // all servers would look faulty, and the faulty one like the others.
-func (s *Scheduler) Blame(now Time, server string) {
+func (s *Scheduler) RecordServerFault(now Time, server string) {
 	if srv := s.servers[server]; srv != nil {
 		srv.recordFailure(now)
 	}
@@ -314,7 +314,7 @@
 
 // Adopt books a run that another scheduler placed, or one of its own that its holder
 // still has. Its holder reports its end.
-func (s *Scheduler) Adopt(now Time, a Run) {
+func (s *Scheduler) Adopt(now Time, a AdoptedRun) {
 	if old := s.runs[a.Key]; old != nil && old.server.ID == a.Server {
 		if old.orphan {
 			old.orphan = false
@@ -327,7 +327,7 @@
 	if srv == nil || svc == nil {
 		return
 	}
-	req := &Request{Key: a.Key, Service: a.Service, PromptTokens: a.PromptTokens, OutputTokens: a.OutputTokens, MaxPause: a.MaxPause, Account: a.Account, Fingerprint: a.Fingerprint, Repeatable: a.Repeatable}
+	req := &Request{Key: a.Key, Service: a.Service, PromptTokens: a.PromptTokens, OutputTokens: a.OutputTokens, MaxPause: a.MaxPause, Account: a.Account, Fingerprint: a.Fingerprint, Interruptible: a.Interruptible}
 	r := srv.start(now, svc, req)
 	if a.Elapsed < adoptedSendWindow {
 		srv.pacer.take(now)
--- a/internal/sched/scheduler_test.go
+++ b/internal/sched/scheduler_test.go
@@ -40,14 +40,14 @@
 	return Request{
 		Key: Key{Holder: 1, ID: id}, Service: engine, Account: "acc", Priority: priority,
 		PromptTokens: 1000, OutputTokens: 60, Units: 1060,
-		Arrived: now, Aim: now + 800*ms, Deadline: now + 8*time.Second,
+		Arrived: now, LatencyTarget: now + 800*ms, Deadline: now + 8*time.Second,
 	}
 }
 
 func call(id uint64, now Time) Request {
 	return Request{
 		Key: Key{Holder: 1, ID: id}, Service: plain, Account: "acc", Units: 200,
-		Arrived: now, Aim: now + 100*ms, Deadline: now + 600*ms,
+		Arrived: now, LatencyTarget: now + 100*ms, Deadline: now + 600*ms,
 	}
 }
 
@@ -120,7 +120,7 @@
 		s := newScheduler(1, 1)
 		for id := uint64(1); id < 40; id++ {
 			s.Submit(0, stream(id, 0, 0))
-			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: OK, First: 300 * ms})
+			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: OK, FirstEvent: 300 * ms})
 		}
 		s.Submit(0, stream(50, 0, 0))
 		s.Submit(0, stream(51, 0, 0))
@@ -136,7 +136,7 @@
 			if out[0].Server == "e1" {
 				pace = 3 * ms
 			}
-			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: Pace, Pace: pace})
+			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: Progress, TokenTime: pace})
 		}
 		for id := uint64(1); id <= 8; id++ {
 			finish(s, 0, id, OK)
@@ -170,7 +170,7 @@
 			counts[out[0].Server]++
 			result := OK
 			if out[0].Server == "p0" {
-				result = Errored
+				result = ServerError
 			}
 			finish(s, now, id, result)
 		}
@@ -233,7 +233,7 @@
 		repeats := 0
 		for id := range uint64(200) {
 			r := call(id, 0)
-			r.Repeat = true
+			r.Retry = true
 			out, _ := s.Submit(0, r)
 			if out[0].Reason == 0 {
 				repeats++
@@ -325,7 +325,7 @@
 var _ = Describe("changes of home", func() {
 	It("books the runs that another home placed", func() {
 		s := newScheduler(1, 1)
-		s.Adopt(0, Run{Key: Key{Holder: 1, ID: 9}, Service: engine, Server: "e0", PromptTokens: 100, OutputTokens: 10})
+		s.Adopt(0, AdoptedRun{Key: Key{Holder: 1, ID: 9}, Service: engine, Server: "e0", PromptTokens: 100, OutputTokens: 10})
 		_, waits := s.Submit(0, stream(1, 0, 0))
 		Expect(waits).To(BeTrue())
 		Expect(placed(finish(s, 10*ms, 9, OK))).To(Equal([]uint64{1}))
--- a/internal/sched/server.go
+++ b/internal/sched/server.go
@@ -56,7 +56,7 @@
 
 func newServer(now Time, spec Server, svc *service, firstEjection time.Duration) *server {
 	s := &server{Server: spec, tokenTime: svc.typicalTokenTime(), firstEjection: firstEjection, nextEjection: firstEjection, firstListedAt: now, leaving: spec.Draining}
-	s.coldUntil = now + spec.ColdFor
+	s.coldUntil = now + spec.WarmUp
 	s.cache.capacity = svc.KVTokens
 	return s
 }
@@ -102,7 +102,7 @@
 		d := svc.callTime() * time.Duration(s.running+s.Slots) / time.Duration(max(1, s.Slots))
 		return prediction{first: d, total: d}
 	}
-	prompt := r.PromptTokens - s.cache.cachedTokens(r.Parts)
+	prompt := r.PromptTokens - s.cache.cachedTokens(r.PromptParts)
 	var p prediction
 	p.prefill = time.Duration(float64(prompt) * svc.prefillRatio * float64(s.tokenTime))
 	p.first = max(0, s.prefillFreeAt-now) + p.prefill + s.tokenTime
@@ -128,7 +128,7 @@
 	s.running++
 	reservedTokens := r.PromptTokens + r.OutputTokens
 	s.reservedTokens += reservedTokens
-	s.cache.use(now, r.Parts)
+	s.cache.use(now, r.PromptParts)
 	s.idleConnections.acquire(r.Holder)
 	placed := &run{req: r, server: s, placed: now, predictedFirst: p.first, predictedEnd: now + min(p.total, maxPredictedTime), reservedTokens: reservedTokens}
 	s.runs = append(s.runs, placed)
@@ -154,11 +154,11 @@
 // learn updates the server's estimates from the outcome of a run, and ejects the server
 // when the outcome calls for it.
 func (s *server) learn(now Time, o Outcome) {
-	if o.Result == OK || o.Result == Pace {
+	if o.Result == OK || o.Result == Progress {
 		s.lastAnswerAt = now
 	}
-	if o.Pace > 0 {
-		s.learnTokenTime(min(max(o.Pace, minTokenTime), maxTokenTime))
+	if o.TokenTime > 0 {
+		s.learnTokenTime(min(max(o.TokenTime, minTokenTime), maxTokenTime))
 	}
 	switch o.Result {
 	case OK:
@@ -166,9 +166,9 @@
 		s.failureAverage = s.failureShare(now) * (1 - failureWeight)
 		s.failureUpdatedAt = now
 		s.nextEjection = s.firstEjection
-	case Errored:
+	case ServerError:
 		s.recordFailure(now)
-	case Broken, Silent, Unreachable, Ended:
+	case Broken, Unresponsive, Unreachable, ServerEnded:
 		s.recordFailure(now)
 		if o.Result != Broken || s.failureAverage > ejectionFailureShare {
 			s.eject(now)
@@ -177,7 +177,7 @@
 		s.eject(now)
 	case Rejected:
 		s.pausedUntil = now + rejectedBackoff
-	case Gone:
+	case Replaced:
 		s.Draining = true
 	}
 }
--- a/internal/sched/settings_test.go
+++ b/internal/sched/settings_test.go
@@ -12,18 +12,18 @@
 		p := DefaultPolicy()
 		Expect(p.Set("total-weight=0.5, late-behind=0,time-out=250,chooses-from=3")).To(Succeed())
 		Expect(p.TotalWeight).To(Equal(0.5))
-		Expect(p.LateBehind).To(BeFalse())
-		Expect(p.TimeOut).To(Equal(250 * ms))
-		Expect(p.ChoosesFrom).To(Equal(3))
+		Expect(p.DemoteLate).To(BeFalse())
+		Expect(p.EjectionTime).To(Equal(250 * ms))
+		Expect(p.CacheChoiceWindow).To(Equal(3))
 		Expect(p.Set("")).To(Succeed())
 	})
 
 	It("have defaults within their bounds and accept the values that disable them", func() {
 		for _, s := range Settings() {
 			p := DefaultPolicy()
-			Expect(s.Value(p)).To(And(BeNumerically(">=", s.Least), BeNumerically("<=", s.Most)), s.Name)
-			if s.Off != "" {
-				Expect(p.Set(s.Name+"="+s.Off)).To(Succeed(), s.Name)
+			Expect(s.Value(p)).To(And(BeNumerically(">=", s.Min), BeNumerically("<=", s.Max)), s.Name)
+			if s.DisabledValue != "" {
+				Expect(p.Set(s.Name+"="+s.DisabledValue)).To(Succeed(), s.Name)
 			}
 		}
 	})
--- a/internal/sched/share_test.go
+++ b/internal/sched/share_test.go
@@ -74,7 +74,7 @@
 			s.SetShare(0, Share{Servers: 1, Limits: 1.0 / hosts})
 			for id := range uint64(30) {
 				r := stream(id, 0, 0)
-				r.Repeat = true
+				r.Retry = true
 				out, _ := s.Submit(0, r)
 				repeats += len(placed(out))
 			}
@@ -87,7 +87,7 @@
 		s.SetShare(0, Share{Servers: 1, Limits: 1.0 / 72})
 		s.SetShare(0, Share{Servers: 1, Limits: 1})
 		r := stream(1, 0, 0)
-		r.Repeat = true
+		r.Retry = true
 		out, _ := s.Submit(0, r)
 		Expect(placed(out)).To(HaveLen(1))
 	})
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -32,17 +32,17 @@
 // it quarantines.
 func (s *Scheduler) SetHost(name string) { s.suspects.SetHost(name) }
 
-// SetLapse sets the maximum time for which a server stays listed after it has ended.
-func (s *Scheduler) SetLapse(d time.Duration) {
-	s.lapse = d
-	s.suspects.SetLapse(d)
+// SetEntryTTL sets the maximum time for which a server stays listed after it has ended.
+func (s *Scheduler) SetEntryTTL(d time.Duration) {
+	s.entryTTL = d
+	s.suspects.SetEntryTTL(d)
 }
 
 // standing returns how a request is to be treated, given the servers that ended while they ran
 // it.
-func (s *Scheduler) standing(now Time, r *Request) quarantine.Standing {
+func (s *Scheduler) standing(now Time, r *Request) quarantine.Verdict {
 	if !s.suspects.Has(r.Fingerprint) {
-		return quarantine.Free
+		return quarantine.Unrestricted
 	}
 	return s.suspects.Judge(now, r.Fingerprint, peers{s.services[r.Service]})
 }
@@ -50,8 +50,8 @@
 // peers gives the quarantine table access to the servers of a service.
 type peers struct{ svc *service }
 
-// Well implements quarantine.Peers.
-func (p peers) Well(since Time) bool {
+// AnsweredSince implements quarantine.ServiceServers.
+func (p peers) AnsweredSince(since Time) bool {
 	if p.svc == nil {
 		return false
 	}
@@ -63,8 +63,8 @@
 	return false
 }
 
-// Unseen implements quarantine.Peers.
-func (p peers) Unseen(at Time) (n int) {
+// UndetectedEnds implements quarantine.ServiceServers.
+func (p peers) UndetectedEnds(at Time) (n int) {
 	if p.svc == nil {
 		return 0
 	}
@@ -86,9 +86,9 @@
 func (s *Scheduler) heldBack(now Time, r *Request) bool {
 	standing := s.standing(now, r)
 	switch {
-	case standing == quarantine.Free:
+	case standing == quarantine.Unrestricted:
 		return false
-	case standing == quarantine.Wait || standing == quarantine.Quarantined || s.copies[r.Fingerprint] > 0:
+	case standing == quarantine.Undecided || standing == quarantine.Quarantined || s.copies[r.Fingerprint] > 0:
 		return true
 	case standing == quarantine.Isolated && s.share.Servers < 1:
 		return true
@@ -144,25 +144,25 @@
 	switch o.Result {
 	case OK:
 		s.suspects.Clear(now, r.req.Fingerprint)
-	case Ended:
+	case ServerEnded:
 		s.recordEnd(now, r.server)
-		s.recordLoss(r.server, s.newLoss(now, r, o.First > 0))
+		s.recordLoss(r.server, s.newLoss(now, r, o.FirstEvent > 0))
 	case Broken:
 		if r.server.ended {
-			s.recordLoss(r.server, s.newLoss(now, r, o.First > 0))
+			s.recordLoss(r.server, s.newLoss(now, r, o.FirstEvent > 0))
 			return
 		}
-		r.server.addBrokenAnswer(s.newLoss(now, r, o.First > 0))
+		r.server.addBrokenAnswer(s.newLoss(now, r, o.FirstEvent > 0))
 	case Unreachable:
 		s.recordIdleEnd(now, r.server)
-	case Gone:
+	case Replaced:
 		s.recordEnd(now, r.server)
 	}
 }
 
 func (s *Scheduler) newLoss(now Time, r *run, hadFirstEvent bool) quarantine.Loss {
 	return quarantine.Loss{
-		Fingerprint: r.req.Fingerprint, Account: r.req.Account, Service: r.req.Service, Server: r.server.ID, At: now, Shown: hadFirstEvent,
+		Fingerprint: r.req.Fingerprint, Account: r.req.Account, Service: r.req.Service, Server: r.server.ID, At: now, EventSeen: hadFirstEvent,
 	}
 }
 
@@ -182,7 +182,7 @@
 func (s *Scheduler) reviewSuspects(now Time) {
 	for f, service := range s.review {
 		switch s.standing(now, &Request{Fingerprint: f, Service: service}) {
-		case quarantine.Wait:
+		case quarantine.Undecided:
 		case quarantine.Quarantined:
 			delete(s.review, f)
 			s.revoke(now, f)
@@ -235,12 +235,12 @@
 // runs the outcomes of the runs are recorded instead.
 func (s *Scheduler) recordIdleEnd(now Time, srv *server) {
 	if !srv.leaving && srv.running == 0 {
-		s.suspects.EndedIdle(srv.ID, max(now-s.lapse, srv.firstListedAt, srv.lastAnswerAt), now)
+		s.suspects.AddIdleEnd(srv.ID, max(now-s.entryTTL, srv.firstListedAt, srv.lastAnswerAt), now)
 	}
 }
 
-// LearnLoss records a run that this host lost with its server, whichever scheduler placed it.
-func (s *Scheduler) LearnLoss(now Time, l quarantine.Loss) {
+// RecordLoss records a run that this host lost with its server, whichever scheduler placed it.
+func (s *Scheduler) RecordLoss(now Time, l quarantine.Loss) {
 	l.At = now
 	if srv := s.servers[l.Server]; srv != nil {
 		s.recordLoss(srv, l)
@@ -261,12 +261,14 @@
 	return s.out
 }
 
-// SuspectNews returns the records of requests that end servers that changed since the last
+// TakeSuspectChanges returns the records of requests that end servers that changed since the last
 // call.
-func (s *Scheduler) SuspectNews(now Time) []quarantine.Record { return s.suspects.TakeNews(now) }
+func (s *Scheduler) TakeSuspectChanges(now Time) []quarantine.Record {
+	return s.suspects.TakeChanges(now)
+}
 
 // Suspects returns all records of requests that end servers.
 func (s *Scheduler) Suspects(now Time) []quarantine.Record { return s.suspects.All(now) }
 
-// Quarantined returns the number of requests in quarantine.
-func (s *Scheduler) Quarantined() int { return s.suspects.Quarantined() }
+// QuarantinedRequests returns the number of requests in quarantine.
+func (s *Scheduler) QuarantinedRequests() int { return s.suspects.Quarantined() }
--- a/internal/sched/suspects_test.go
+++ b/internal/sched/suspects_test.go
@@ -37,7 +37,7 @@
 	d.next++
 	r := Request{
 		Key: Key{Holder: 1, ID: d.next}, Service: engine, Fingerprint: f, PromptTokens: 500, OutputTokens: 100,
-		Arrived: now, Aim: now + 800*ms, Deadline: now + 8*time.Second,
+		Arrived: now, LatencyTarget: now + 800*ms, Deadline: now + 8*time.Second,
 	}
 	out, _ := d.Submit(now, r)
 	return r.Key, out
@@ -62,11 +62,11 @@
 	It("runs one copy at a time until one shows progress", func() {
 		d := newSuspectsDriver(6)
 		k, _ := d.mustPlace(0, f)
-		d.finish(100*ms, k, Ended)
+		d.finish(100*ms, k, ServerEnded)
 		first, _ := d.mustPlace(200*ms, f)
 		second, out := d.submitCopy(210*ms, f)
 		Expect(out).To(BeEmpty(), "it waits")
-		out = d.Finish(1200*ms, Outcome{Key: first, Result: Pace, First: 50 * ms, Pace: 7 * ms})
+		out = d.Finish(1200*ms, Outcome{Key: first, Result: Progress, FirstEvent: 50 * ms, TokenTime: 7 * ms})
 		Expect(append(out, d.Tick(1300*ms)...)).To(ConsistOf(And(HaveField("Key", second), HaveField("Server", Not(BeEmpty())))))
 	})
 
@@ -83,7 +83,7 @@
 		var out []Decision
 		for i, k := range running[:3] {
 			at := time.Duration(i+1) * 1100 * ms
-			out = append(out, d.finish(at, k, Ended)...)
+			out = append(out, d.finish(at, k, ServerEnded)...)
 		}
 		out = append(out, d.Tick(5*time.Second)...)
 		for _, decision := range out {
@@ -98,7 +98,7 @@
 		d := newSuspectsDriver(3)
 		k, server := d.mustPlace(0, f)
 		d.SetServers(time.Second, []Server{{ID: server, Service: engine, Address: server, Slots: 8, Draining: true}, {ID: "other", Service: engine, Address: "other", Slots: 8}})
-		d.finish(2*time.Second, k, Ended)
+		d.finish(2*time.Second, k, ServerEnded)
 		Expect(d.Suspects(2 * time.Second)).To(BeEmpty())
 		k, _ = d.mustPlace(3*time.Second, f)
 		d.finish(4*time.Second, k, Broken)
@@ -127,7 +127,7 @@
 		d := newSuspectsDriver(6)
 		for i := range 2 {
 			k, _ := d.mustPlace(time.Duration(i)*3*time.Second, f)
-			d.finish(time.Duration(i)*3*time.Second+100*ms, k, Ended)
+			d.finish(time.Duration(i)*3*time.Second+100*ms, k, ServerEnded)
 		}
 		d.SetShare(5*time.Second, Share{Servers: 0.5, Limits: 0.1})
 		_, out := d.submitCopy(6*time.Second, f)
@@ -143,12 +143,12 @@
 		d.SetShare(0, Share{Servers: 0.5, Limits: 0.1})
 		for i := range 4 {
 			at := time.Duration(i) * 3 * time.Second
-			d.LearnLoss(at, quarantine.Loss{Fingerprint: f, Service: engine, Server: fmt.Sprint("e", i)})
+			d.RecordLoss(at, quarantine.Loss{Fingerprint: f, Service: engine, Server: fmt.Sprint("e", i)})
 			d.Tick(at + 2*time.Second)
 		}
 		_, out := d.submitCopy(20*time.Second, f)
 		Expect(out).To(BeEmpty())
-		Expect(d.Quarantined()).To(BeZero())
+		Expect(d.QuarantinedRequests()).To(BeZero())
 		d.SetShare(21*time.Second, Share{Servers: 1, Limits: 1})
 		Expect(d.Tick(21 * time.Second)).To(ConsistOf(HaveField("Reason", Quarantined)))
 	})
@@ -162,8 +162,8 @@
 			at := time.Duration(i) * 3 * time.Second
 			k, _ := d.mustPlace(at, f)
 			o, _ := d.mustPlace(at, other)
-			d.finish(at+100*ms, k, Ended)
-			d.finish(at+100*ms, o, Ended)
+			d.finish(at+100*ms, k, ServerEnded)
+			d.finish(at+100*ms, o, ServerEnded)
 		}
 		_, where := d.mustPlace(10*time.Second, f)
 		_, out := d.submitCopy(10*time.Second+minRecurrentInterval, other)
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -30,15 +30,15 @@
 // Server is one incarnation of a backend server. A restarted server has a new ID, so no
 // estimate of the earlier incarnation applies to it.
 type Server struct {
-	ID       string
-	Service  string
-	Version  string // software version, empty if unknown
-	Address  string // IP:PORT
-	Zone     string
-	Slots    int // concurrent requests
-	Draining bool
-	ColdFor  time.Duration // remaining warm-up time, in which it is slower
-	Born     int64         // start time in Unix milliseconds by its own clock, 0 if unknown
+	ID        string
+	Service   string
+	Version   string // software version, empty if unknown
+	Address   string // IP:PORT
+	Zone      string
+	Slots     int // concurrent requests
+	Draining  bool
+	WarmUp    time.Duration // remaining warm-up time, in which it is slower
+	StartedMs int64         // start time in Unix milliseconds by its own clock, 0 if unknown
 }
 
 // Account is a client account and its quota.
@@ -64,26 +64,26 @@
 // Request is what the scheduler knows of a request. The body stays at the holder.
 type Request struct {
 	Key
-	Zone         string // of the holder
-	Service      string
-	Account      string
-	Priority     int // 0 is the most urgent
-	PromptTokens int
-	OutputTokens int     // expected, 0 for a plain call
-	Units        float64 // charged to the account's quota
-	Parts        []Part
-	Arrived      Time // first placement request of the first holder
-	Aim          Time // latency target for the first event of a stream or the whole answer of a plain call
-	// LeavesAt is the caller timeout: when the caller gives up if it has received no event,
+	Zone          string // of the holder
+	Service       string
+	Account       string
+	Priority      int // 0 is the most urgent
+	PromptTokens  int
+	OutputTokens  int     // expected, 0 for a plain call
+	Units         float64 // charged to the account's quota
+	PromptParts   []Part
+	Arrived       Time // first placement request of the first holder
+	LatencyTarget Time // for the first event of a stream or the whole answer of a plain call
+	// CallerTimeoutAt is when the caller gives up if it has received no event,
 	// 0 if it waits until its deadline. Callers of streams give up well before the deadline.
-	LeavesAt    Time
-	Deadline    Time
-	MaxPause    time.Duration // longest pause between events for a stream to count as on time, 0 for no bound
-	Repeat      bool          // a retry, which draws on the service's retry budget
-	Avoid       []string      // servers that were already tried
-	Fingerprint quarantine.Fingerprint
-	Route       string
-	Repeatable  bool // its run may be interrupted and repeated or resumed elsewhere
+	CallerTimeoutAt Time
+	Deadline        Time
+	MaxPause        time.Duration // longest pause between events for a stream to count as on time, 0 for no bound
+	Retry           bool          // a retry, which draws on the service's retry budget
+	Avoid           []string      // servers that were already tried
+	Fingerprint     quarantine.Fingerprint
+	Route           string
+	Interruptible   bool // its run may be interrupted and repeated or resumed elsewhere
 }
 
 // Result is how a run ended.
@@ -95,61 +95,61 @@
 	Unused Result = iota
 	// OK: the whole answer arrived.
 	OK
-	// Left: the caller disconnected or its deadline passed. This says nothing about the
+	// CallerLeft: the caller disconnected or its deadline passed. This says nothing about the
 	// server.
-	Left
+	CallerLeft
 	// Unreachable: the connection failed before anything was sent.
 	Unreachable
 	// Rejected: the server stated that it did not run the request.
 	Rejected
-	// Gone: another incarnation answers at the server's address.
-	Gone
-	// Errored: the server answered with an error that is attributed to the server.
-	Errored
+	// Replaced: another incarnation answers at the server's address.
+	Replaced
+	// ServerError: the server answered with an error that is attributed to the server.
+	ServerError
 	// Broken: the answer was lost or cut off, and the server still accepts connections.
 	Broken
-	// Silent: the server stopped answering, including new connections.
-	Silent
-	// Pace: the run continues; only its time per output token is reported.
-	Pace
+	// Unresponsive: the server stopped answering, including new connections.
+	Unresponsive
+	// Progress: the run continues; only its time per output token is reported.
+	Progress
 	// Stalled: the run continues for lack of an alternative, but its server does not answer
 	// new connections.
 	Stalled
-	// Ended: the answer was lost or cut off, and nothing listens at the server's address.
-	Ended
-	// Unblamed: the server answered with an error that the request itself may have caused;
+	// ServerEnded: the answer was lost or cut off, and nothing listens at the server's address.
+	ServerEnded
+	// UnattributedError: the server answered with an error that the request itself may have caused;
 	// the answer of another server decides.
-	Unblamed
+	UnattributedError
 )
 
 // NotRun reports whether the request did not run, so that its quota units are refunded.
 func (r Result) NotRun() bool {
-	return r == Unused || r == Unreachable || r == Rejected || r == Gone
+	return r == Unused || r == Unreachable || r == Rejected || r == Replaced
 }
 
 // Lost reports whether the answer was lost or cut off.
-func (r Result) Lost() bool { return r == Broken || r == Ended }
+func (r Result) Lost() bool { return r == Broken || r == ServerEnded }
 
 // Outcome is a report about a run.
 type Outcome struct {
 	Key
-	Result Result
-	First  time.Duration // from dispatch to the first event, 0 if unknown
-	Pace   time.Duration // time per output token, 0 if unknown
+	Result     Result
+	FirstEvent time.Duration // from dispatch to the first event, 0 if unknown
+	TokenTime  time.Duration // time per output token, 0 if unknown
 }
 
-// Run is an unfinished run that another scheduler placed.
-type Run struct {
+// AdoptedRun is an unfinished run that another scheduler placed.
+type AdoptedRun struct {
 	Key
-	Service      string
-	Server       string
-	PromptTokens int
-	OutputTokens int
-	Elapsed      time.Duration
-	MaxPause     time.Duration
-	Account      string
-	Fingerprint  quarantine.Fingerprint
-	Repeatable   bool
+	Service       string
+	Server        string
+	PromptTokens  int
+	OutputTokens  int
+	Elapsed       time.Duration
+	MaxPause      time.Duration
+	Account       string
+	Fingerprint   quarantine.Fingerprint
+	Interruptible bool
 }
 
 // Reason is why a request was refused without having run.
@@ -163,8 +163,8 @@
 	Quota
 	// NoServer: the service has no usable server.
 	NoServer
-	// Budget: the retry budget of the service is spent.
-	Budget
+	// RetryBudget: the retry budget of the service is spent.
+	RetryBudget
 	// NoService: the service is not in the configuration.
 	NoService
 	// Quarantined: servers ended while they ran the same request.
@@ -180,7 +180,7 @@
 		return "the account is over its quota"
 	case NoServer:
 		return "the service has no usable server"
-	case Budget:
+	case RetryBudget:
 		return "the retry budget is spent"
 	case NoService:
 		return "the service is unknown"
--- a/test/platform/explain_test.go
+++ b/test/platform/explain_test.go
@@ -13,7 +13,7 @@
 
 // story reads the logs of all hosts and finds a request in them. Lines are
 // written in the background, a moment after the answer; g lets its caller wait.
-func (s *site) story(g Gomega, request string) explain.Story {
+func (s *site) story(g Gomega, request string) explain.RequestHistory {
 	var text []byte
 	for _, h := range s.hosts {
 		text = append(text, h.session.Out.Contents()...)
