--- a/cmd/gentianctl/client.go
+++ b/cmd/gentianctl/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	callTimeout = 10 * time.Second
-	maxReply    = 64 << 20
+	requestTimeout = 10 * time.Second
+	maxReplyBytes  = 64 << 20
 )
 
-// adminClient calls the admin interface of the hosts.
+// adminClient calls the admin API of the entry hosts.
 type adminClient struct {
 	addresses []string
 	token     string
@@ -28,10 +28,10 @@
 }
 
 func newAdminClient(c *cli.Command) *adminClient {
-	return &adminClient{addresses: c.StringSlice("admin"), token: c.String("admin-token"), http: &http.Client{Timeout: callTimeout}}
+	return &adminClient{addresses: c.StringSlice("admin"), token: c.String("admin-token"), http: &http.Client{Timeout: requestTimeout}}
 }
 
-// get asks the given addresses in turn until one answers.
+// get tries the addresses in turn until a call succeeds.
 func (a *adminClient) get(ctx context.Context, path string, into any) error {
 	var err error
 	for _, address := range a.addresses {
@@ -46,8 +46,8 @@
 	return a.call(ctx, http.MethodGet, address, path, nil, into)
 }
 
-// post sends to the first address only: a call whose answer was lost is
-// repeated by the operator, who has its change id.
+// post sends to the first address only. If the answer is lost, the operator
+// repeats the call with the same change id.
 func (a *adminClient) post(ctx context.Context, path string, body, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -70,7 +70,7 @@
 		return failure.Wrap(failure.PeerSilent, err, "%s", address)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return failure.Wrap(failure.PeerSilent, err, "%s", address)
 	}
@@ -84,8 +84,8 @@
 	return failure.Wrap(failure.Internal, json.Unmarshal(text, into), "%s", address)
 }
 
-// members lists the members that are not dead, as the first host that
-// answers sees them.
+// members returns the members that are not dead, as seen by the first host
+// that answers.
 func (a *adminClient) members(ctx context.Context) ([]member.Member, error) {
 	var reply admin.MembersReply
 	if err := a.get(ctx, "/v1/members", &reply); err != nil {
--- a/cmd/gentianctl/config.go
+++ b/cmd/gentianctl/config.go
@@ -20,16 +20,16 @@
 		Name:  "config",
 		Usage: "check, show, compare and change the configuration",
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "check a document without a fleet", ArgsUsage: "FILE", Action: configCheck},
-			{Name: "show", Usage: "print the document in force", Action: configShow},
-			{Name: "diff", Usage: "print what FILE would change", ArgsUsage: "FILE", Action: configDiff},
+			{Name: "check", Usage: "validate a document without contacting a fleet", ArgsUsage: "FILE", Action: configCheck},
+			{Name: "show", Usage: "print the configuration in force", Action: configShow},
+			{Name: "diff", Usage: "print the changes that FILE would make", ArgsUsage: "FILE", Action: configDiff},
 			{
-				Name: "apply", Usage: "make FILE the newest version and wait until it is in force", ArgsUsage: "FILE", Action: configApply,
+				Name: "apply", Usage: "make FILE the newest version and wait until it is in force on all hosts", ArgsUsage: "FILE", Action: configApply,
 				Flags: []cli.Flag{
-					&cli.Int64Flag{Name: "base", Value: -1, Usage: "version that FILE was made from; -1 takes the one in force now"},
-					&cli.StringFlag{Name: "change-id", Usage: "unique id of the change; the same id may be sent again when the outcome is in doubt"},
-					&cli.StringFlag{Name: "author", Usage: "name shown to other operators", Sources: cli.EnvVars("USER")},
-					&cli.DurationFlag{Name: "wait", Value: 6 * time.Second, Usage: "how long to wait for all hosts"},
+					&cli.Int64Flag{Name: "base", Value: -1, Usage: "version that FILE is based on; -1 means the version in force"},
+					&cli.StringFlag{Name: "change-id", Usage: "unique id of the change; if the outcome is in doubt, the same id may be sent again"},
+					&cli.StringFlag{Name: "author", Usage: "author name shown to other operators", Sources: cli.EnvVars("USER")},
+					&cli.DurationFlag{Name: "wait", Value: 6 * time.Second, Usage: "how long to wait until the version is in force on all hosts"},
 				},
 			},
 			{Name: "history", Usage: "list the newest accepted changes", Action: configHistory},
@@ -39,7 +39,7 @@
 
 func readDocument(c *cli.Command) ([]byte, *config.Document, error) {
 	if c.Args().Len() != 1 {
-		return nil, nil, failure.New(failure.BadRequest, "give one FILE")
+		return nil, nil, failure.New(failure.BadRequest, "exactly one FILE argument is required")
 	}
 	text, err := os.ReadFile(c.Args().First())
 	if err != nil {
@@ -63,14 +63,14 @@
 	return nil
 }
 
-func current(ctx context.Context, a *adminClient) (admin.ConfigReply, error) {
+func currentConfig(ctx context.Context, client *adminClient) (admin.ConfigReply, error) {
 	var reply admin.ConfigReply
-	err := a.get(ctx, "/v1/config", &reply)
+	err := client.get(ctx, "/v1/config", &reply)
 	return reply, err
 }
 
 func configShow(ctx context.Context, c *cli.Command) error {
-	reply, err := current(ctx, newAdminClient(c))
+	reply, err := currentConfig(ctx, newAdminClient(c))
 	if err != nil {
 		return err
 	}
@@ -83,17 +83,17 @@
 	if err != nil {
 		return err
 	}
-	reply, err := current(ctx, newAdminClient(c))
+	reply, err := currentConfig(ctx, newAdminClient(c))
 	if err != nil {
 		return err
 	}
-	var now *config.Document
+	var inForce *config.Document
 	if reply.Version > 0 {
-		if now, err = config.Decode(reply.Text); err != nil {
+		if inForce, err = config.Decode(reply.Text); err != nil {
 			return err
 		}
 	}
-	changes, err := config.Diff(now, wanted)
+	changes, err := config.Diff(inForce, wanted)
 	if err != nil {
 		return err
 	}
@@ -108,37 +108,37 @@
 	if err != nil {
 		return err
 	}
-	a := newAdminClient(c)
-	p := configsync.Proposal{ChangeID: c.String("change-id"), Author: c.String("author"), Text: text}
-	if p.ChangeID == "" {
-		p.ChangeID = ulid.Make().String()
+	client := newAdminClient(c)
+	proposal := configsync.Proposal{ChangeID: c.String("change-id"), Author: c.String("author"), Text: text}
+	if proposal.ChangeID == "" {
+		proposal.ChangeID = ulid.Make().String()
 	}
-	p.Base = uint64(max(0, c.Int64("base")))
+	proposal.Base = uint64(max(0, c.Int64("base")))
 	if c.Int64("base") < 0 {
-		reply, err := current(ctx, a)
+		reply, err := currentConfig(ctx, client)
 		if err != nil {
 			return err
 		}
-		p.Base = reply.Version
+		proposal.Base = reply.Version
 	}
 	var accepted configsync.Change
-	if err := a.post(ctx, "/v1/config", p, &accepted); err != nil {
+	if err := client.post(ctx, "/v1/config", proposal, &accepted); err != nil {
 		if failure.Is(err, failure.StoreDown) {
-			fmt.Printf("in doubt: apply again with --base %d --change-id %s\n", p.Base, p.ChangeID)
+			fmt.Printf("in doubt: apply again with --base %d --change-id %s\n", proposal.Base, proposal.ChangeID)
 		}
 		return err
 	}
 	fmt.Printf("accepted: version %d change %s\n", accepted.Version, accepted.ChangeID)
-	return waitInForce(ctx, a, accepted.Version, c.Duration("wait"))
+	return waitInForce(ctx, client, accepted.Version, c.Duration("wait"))
 }
 
-const inForcePoll = 100 * time.Millisecond
+const inForcePollInterval = 100 * time.Millisecond
 
-// waitInForce polls every member until all have the version.
-func waitInForce(ctx context.Context, a *adminClient, version uint64, limit time.Duration) error {
+// waitInForce polls the members until the version is in force on all of them.
+func waitInForce(ctx context.Context, client *adminClient, version uint64, limit time.Duration) error {
 	begin := time.Now()
 	for {
-		missing, have, err := inForce(ctx, a, version)
+		missing, have, err := hostsByVersion(ctx, client, version)
 		if err != nil {
 			return err
 		}
@@ -149,18 +149,20 @@
 		if time.Since(begin) > limit {
 			return failure.New(failure.PeerSilent, "version %d is in force on %v, not seen on %v after %s", version, have, missing, limit)
 		}
-		time.Sleep(inForcePoll)
+		time.Sleep(inForcePollInterval)
 	}
 }
 
-func inForce(ctx context.Context, a *adminClient, version uint64) (missing, have []string, err error) {
-	members, err := a.members(ctx)
+// hostsByVersion separates the hosts on which the version, or a newer one, is
+// in force from those on which it is not known to be.
+func hostsByVersion(ctx context.Context, client *adminClient, version uint64) (missing, have []string, err error) {
+	members, err := client.members(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, m := range members {
 		var s admin.Status
-		if a.getFrom(ctx, m.AdminAddress, "/v1/status", &s) == nil && s.Version >= version {
+		if client.getFrom(ctx, m.AdminAddress, "/v1/status", &s) == nil && s.Version >= version {
 			have = append(have, m.Host)
 			continue
 		}
--- a/cmd/gentianctl/explain.go
+++ b/cmd/gentianctl/explain.go
@@ -15,17 +15,17 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell from the hosts' logs why a request ended as it did", ArgsUsage: "REQUEST|SERVER [FILE...]",
+		Name: "explain", Usage: "explain from the hosts' logs why a request ended as it did", ArgsUsage: "REQUEST|SERVER [FILE...]",
 		Description: "Reads the logs of all hosts from the files, or from standard input. Prints the\n" +
-			"request's own lines, what its host and servers went through within 3 s of it,\n" +
-			"and the usual cause of such an end. With --server: what ran on a server as it ended.",
+			"request's own lines, the events of its host and servers within 3 s of it, and the\n" +
+			"usual cause of such an outcome. With --server: the requests that a server ran as it ended.",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "json", Usage: "print the story as JSON"},
-			&cli.BoolFlag{Name: "server", Usage: "the name is a server's"},
+			&cli.BoolFlag{Name: "json", Usage: "print the result as JSON"},
+			&cli.BoolFlag{Name: "server", Usage: "the argument names a server"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return failure.New(failure.BadRequest, "name the request: gentianctl explain REQUEST FILE...")
+				return failure.New(failure.BadRequest, "request id is missing; usage: gentianctl explain REQUEST FILE...")
 			}
 			lines, err := readLogs(c.Args().Tail())
 			if err != nil {
@@ -34,14 +34,14 @@
 			if c.Bool("server") {
 				return printServerEnd(explain.ServerEnd(lines, c.Args().First()))
 			}
-			story, err := explain.Find(lines, c.Args().First())
+			history, err := explain.Find(lines, c.Args().First())
 			if err != nil {
 				return err
 			}
 			if c.Bool("json") {
-				return json.NewEncoder(os.Stdout).Encode(story)
+				return json.NewEncoder(os.Stdout).Encode(history)
 			}
-			printStory(story)
+			printRequestHistory(history)
 			return nil
 		},
 	}
@@ -55,10 +55,10 @@
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, failure.Wrap(failure.BadRequest, err, "open a log")
+			return nil, failure.Wrap(failure.BadRequest, err, "open a log file")
 		}
 		lines, err := explain.Read(io.Reader(f))
-		_ = f.Close() // only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return nil, err
 		}
@@ -67,16 +67,16 @@
 	return all, nil
 }
 
-func printStory(s explain.Story) {
+func printRequestHistory(history explain.Story) {
 	fmt.Println("the request:")
-	printLines(s.Request)
-	if len(s.Ends) > 0 {
+	printLines(history.Request)
+	if len(history.Ends) > 0 {
 		fmt.Println("servers that ended under the same request:")
-		printLines(s.Ends)
+		printLines(history.Ends)
 	}
 	fmt.Println("its host and servers meanwhile:")
-	printLines(s.Host)
-	if cause := s.Cause(); cause != "" {
+	printLines(history.Host)
+	if cause := history.Cause(); cause != "" {
 		fmt.Println("cause:", cause)
 	}
 }
@@ -89,7 +89,7 @@
 
 func printServerEnd(lines []explain.Line) error {
 	if len(lines) == 0 {
-		return failure.New(failure.UnknownRequest, "no line tells that this server ended while it had requests")
+		return failure.New(failure.UnknownRequest, "the logs have no requests that this server was running as it ended")
 	}
 	fmt.Println("what the server ran as it ended:")
 	for _, l := range lines {
--- a/cmd/gentianctl/losses.go
+++ b/cmd/gentianctl/losses.go
@@ -15,14 +15,14 @@
 
 func lossesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "losses", Usage: "count from the hosts' logs how requests ended, and what made them late", ArgsUsage: "[FILE...]",
-		Description: "Reads the logs of all hosts from the files, or from standard input. One row a\n" +
-			"route, or a server: answers in time, late ones by what took most of their time\n" +
-			"(waiting, the first event, a pause between events), refusals by their reason.",
+		Name: "losses", Usage: "count request outcomes and causes of late answers from the hosts' logs", ArgsUsage: "[FILE...]",
+		Description: "Reads the logs of all hosts from the files, or from standard input. Prints one\n" +
+			"row per route or server: answers in time, late answers by what took most of their\n" +
+			"time (waiting, the first event, a pause between events), refusals by reason.",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "servers", Usage: "a row a server instead of a route"},
-			&cli.TimestampFlag{Name: "from", Usage: "leave out what was before", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
-			&cli.TimestampFlag{Name: "to", Usage: "leave out what was after", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
+			&cli.BoolFlag{Name: "servers", Usage: "print a row per server instead of per route"},
+			&cli.TimestampFlag{Name: "from", Usage: "ignore earlier log lines", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
+			&cli.TimestampFlag{Name: "to", Usage: "ignore later log lines", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
 			&cli.BoolFlag{Name: "json", Usage: "print the rows as JSON"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -30,11 +30,11 @@
 			if err != nil {
 				return err
 			}
-			of := explain.ByRoute
+			keyOf := explain.ByRoute
 			if c.Bool("servers") {
-				of = explain.ByServer
+				keyOf = explain.ByServer
 			}
-			rows := explain.TallyBy(explain.Between(lines, c.Timestamp("from"), c.Timestamp("to")), of)
+			rows := explain.TallyBy(explain.Between(lines, c.Timestamp("from"), c.Timestamp("to")), keyOf)
 			if c.Bool("json") {
 				return json.NewEncoder(os.Stdout).Encode(rows)
 			}
@@ -46,14 +46,14 @@
 func printLosses(rows []explain.Tally) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "of\tall\t")
-	for _, end := range explain.Losses {
-		fmt.Fprintf(w, "%s\t", end)
+	for _, outcome := range explain.Losses {
+		fmt.Fprintf(w, "%s\t", outcome)
 	}
 	fmt.Fprintln(w)
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%d\t", r.Of, r.Total)
-		for _, end := range explain.Losses {
-			fmt.Fprintf(w, "%d\t", r.Ends[end])
+		for _, outcome := range explain.Losses {
+			fmt.Fprintf(w, "%d\t", r.Ends[outcome])
 		}
 		fmt.Fprintln(w)
 	}
--- a/cmd/gentianctl/main.go
+++ b/cmd/gentianctl/main.go
@@ -1,4 +1,4 @@
-// Command gentianctl is the operators' tool.
+// Command gentianctl is the command-line tool for operators.
 package main
 
 import (
@@ -13,10 +13,10 @@
 
 // The exit codes, documented in docs/OPERATIONS.md.
 const (
-	exitFailure  = 1 // the call failed, or a check found what it looks for
+	exitFailure  = 1 // the call failed, or a check found violations
 	exitBadInput = 2 // the command line or the document is wrong
 	exitConflict = 3 // another operator's change came first
-	exitDoubt    = 4 // the outcome is not known; ask again with the same change id
+	exitInDoubt  = 4 // the outcome is unknown; repeat with the same change id
 )
 
 func main() {
@@ -33,7 +33,7 @@
 	case failure.Conflict:
 		return exitConflict
 	case failure.StoreDown:
-		return exitDoubt
+		return exitInDoubt
 	}
 	return exitFailure
 }
@@ -43,7 +43,7 @@
 		Name:  "gentianctl",
 		Usage: "operate a gentianflow fleet",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "admin", Value: []string{"127.0.0.1:7102"}, Usage: "admin address of an entry host; the others are found through it", Sources: cli.EnvVars("GENTIAN_ADMIN")},
+			&cli.StringSliceFlag{Name: "admin", Value: []string{"127.0.0.1:7102"}, Usage: "admin address of an entry host, through which the others are discovered", Sources: cli.EnvVars("GENTIAN_ADMIN")},
 			&cli.StringFlag{Name: "admin-token", Usage: "operators' bearer token", Sources: cli.EnvVars("GENTIAN_ADMIN_TOKEN")},
 		},
 		Commands: []*cli.Command{configCommand(), statusCommand(), membersCommand(), drainCommand(), timelineCommand(), checkCommand(), replayCommand(), explainCommand(), lossesCommand(), platformCommand()},
--- a/cmd/gentianctl/operate.go
+++ b/cmd/gentianctl/operate.go
@@ -18,19 +18,19 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name: "status", Usage: "show every host, its configuration version and the homes it runs", Action: status,
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print all that the hosts tell"}},
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print the full status of each host as JSON"}},
 	}
 }
 
 func status(ctx context.Context, c *cli.Command) error {
-	a := newAdminClient(c)
-	members, err := a.members(ctx)
+	client := newAdminClient(c)
+	members, err := client.members(ctx)
 	if err != nil {
 		return err
 	}
 	for _, m := range members {
 		var s admin.Status
-		if err := a.getFrom(ctx, m.AdminAddress, "/v1/status", &s); err != nil {
+		if err := client.getFrom(ctx, m.AdminAddress, "/v1/status", &s); err != nil {
 			fmt.Printf("%-16s %-16s does not answer: %v\n", m.Host, m.State, err)
 			continue
 		}
@@ -73,10 +73,10 @@
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "drain an entry host: it finishes what runs and exits", ArgsUsage: "HOST",
+		Name: "drain", Usage: "drain an entry host: it finishes its running requests and exits", ArgsUsage: "HOST",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			a := newAdminClient(c)
-			members, err := a.members(ctx)
+			client := newAdminClient(c)
+			members, err := client.members(ctx)
 			if err != nil {
 				return err
 			}
@@ -84,49 +84,49 @@
 				if m.Host != c.Args().First() {
 					continue
 				}
-				one := *a
-				one.addresses = []string{m.AdminAddress}
+				target := *client
+				target.addresses = []string{m.AdminAddress}
 				var reply admin.DrainReply
-				if err := one.post(ctx, "/v1/drain", struct{}{}, &reply); err != nil {
+				if err := target.post(ctx, "/v1/drain", struct{}{}, &reply); err != nil {
 					return err
 				}
 				fmt.Printf("%s drains\n", m.Host)
 				return nil
 			}
-			return failure.New(failure.BadRequest, "no member is called %q", c.Args().First())
+			return failure.New(failure.BadRequest, "no member is named %q", c.Args().First())
 		},
 	}
 }
 
 func timelineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "timeline", Usage: "merge the time lines of all hosts in causal order", Action: timeline,
+		Name: "timeline", Usage: "print the events of all hosts, merged in causal order", Action: timeline,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "request", Usage: "only events of this request id"},
 			&cli.StringFlag{Name: "service", Usage: "only events of this service's cell"},
 			&cli.StringFlag{Name: "server", Usage: "only events of this backend server"},
-			&cli.BoolFlag{Name: "json", Usage: "one JSON object a line"},
+			&cli.BoolFlag{Name: "json", Usage: "print one JSON object per line"},
 		},
 	}
 }
 
 func timeline(ctx context.Context, c *cli.Command) error {
-	a := newAdminClient(c)
-	members, err := a.members(ctx)
+	client := newAdminClient(c)
+	members, err := client.members(ctx)
 	if err != nil {
 		return err
 	}
 	path := fmt.Sprintf("/v1/timeline?request=%s&service=%s&server=%s", c.String("request"), c.String("service"), c.String("server"))
-	var lines [][]event.Event
+	var timelines [][]event.Event
 	for _, m := range members {
 		var reply admin.TimelineReply
-		if err := a.getFrom(ctx, m.AdminAddress, path, &reply); err != nil {
+		if err := client.getFrom(ctx, m.AdminAddress, path, &reply); err != nil {
 			fmt.Fprintf(os.Stderr, "%s does not answer: %v\n", m.Host, err)
 			continue
 		}
-		lines = append(lines, reply.Events)
+		timelines = append(timelines, reply.Events)
 	}
-	for _, e := range event.Merge(lines...) {
+	for _, e := range event.Merge(timelines...) {
 		if c.Bool("json") {
 			if err := json.NewEncoder(os.Stdout).Encode(e); err != nil {
 				return failure.Wrap(failure.Internal, err, "print")
@@ -140,11 +140,11 @@
 
 func printEvent(e event.Event) {
 	fmt.Printf("%8d %s %-12s %d %-20s", e.Lamport, e.At.Format(time.StampMicro), e.Host, e.Code, e.Name)
-	for _, f := range []struct{ k, v string }{
+	for _, f := range []struct{ key, value string }{
 		{"request", e.Request}, {"service", e.Service}, {"server", e.Server}, {"peer", e.Peer}, {"detail", e.Detail},
 	} {
-		if f.v != "" {
-			fmt.Printf(" %s=%s", f.k, f.v)
+		if f.value != "" {
+			fmt.Printf(" %s=%s", f.key, f.value)
 		}
 	}
 	fmt.Println()
--- a/cmd/gentianctl/platform.go
+++ b/cmd/gentianctl/platform.go
@@ -14,50 +14,50 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// platformCommand checks what gentianhost reads on the prepared platform, before
-// a host does.
+// platformCommand checks settings and configurations for the prepared platform
+// before gentianhost reads them.
 func platformCommand() *cli.Command {
 	return &cli.Command{
-		Name: "platform", Usage: "check the files of hosts on the prepared platform, and the requests in quarantine, the roll-outs",
+		Name: "platform", Usage: "check host files for the prepared platform; manage quarantined requests and roll-outs",
 		Commands: []*cli.Command{
 			{Name: "settings", Usage: "check settings files, as gentianhost reads them", ArgsUsage: "FILE...", Action: checkEach(checkSettings)},
 			{Name: "config", Usage: "check operators' configurations (JSON) before they are written to the store", ArgsUsage: "FILE...", Action: checkEach(checkConfig)},
-			{Name: "policy", Usage: "list the scheduler's figures, or check some", ArgsUsage: "[NAME=VALUE,...]", Action: listPolicy},
+			{Name: "policy", Usage: "list the scheduler's settings, or check values for some of them", ArgsUsage: "[NAME=VALUE,...]", Action: listPolicy},
 			quarantineCommand(),
 			rolloutCommand(),
 		},
 	}
 }
 
-// checkEach checks all files and fails when one of them is wrong.
+// checkEach checks all files and fails if any of them is invalid.
 func checkEach(check func(path string) (string, error)) cli.ActionFunc {
 	return func(_ context.Context, c *cli.Command) error {
 		if c.Args().Len() == 0 {
-			return failure.New(failure.BadRequest, "give one FILE or more")
+			return failure.New(failure.BadRequest, "at least one FILE argument is required")
 		}
-		var wrong error
+		var lastErr error
 		for _, path := range c.Args().Slice() {
-			says, err := check(path)
+			summary, err := check(path)
 			if err != nil {
 				fmt.Fprintf(os.Stderr, "%s: %s\n", path, failure.From(err).Message)
-				wrong = err
+				lastErr = err
 				continue
 			}
-			fmt.Printf("%s: %s\n", path, says)
+			fmt.Printf("%s: %s\n", path, summary)
 		}
-		if wrong != nil {
-			return failure.New(failure.From(wrong).Code, "not all files are sound")
+		if lastErr != nil {
+			return failure.New(failure.From(lastErr).Code, "some files are invalid")
 		}
 		return nil
 	}
 }
 
 func checkSettings(path string) (string, error) {
-	set, err := platform.ReadSettingsFile(path)
+	settings, err := platform.ReadSettingsFile(path)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("host %s in %s, callers at %s, store at %s", set.Host, set.AvailabilityZone, set.EntryAddress, set.Store), nil
+	return fmt.Sprintf("host %s in %s, callers at %s, store at %s", settings.Host, settings.AvailabilityZone, settings.EntryAddress, settings.Store), nil
 }
 
 func checkConfig(path string) (string, error) {
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("version %d, %d routes, %d services, %d accounts", c.Version, len(c.Routes), len(c.Services), len(c.Accounts)), nil
 }
 
-// listPolicy prints the figures as they stand with what the arguments set.
+// listPolicy prints the policy settings, with the values that the arguments set.
 func listPolicy(_ context.Context, c *cli.Command) error {
 	p := sched.DefaultPolicy()
 	if err := p.Set(strings.Join(c.Args().Slice(), ",")); err != nil {
--- a/cmd/gentianctl/proof.go
+++ b/cmd/gentianctl/proof.go
@@ -15,7 +15,7 @@
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "check recorded histories against the promises", ArgsUsage: "FILE...",
+		Name: "check", Usage: "check recorded histories for violations of the guarantees", ArgsUsage: "FILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
 			var all []history.Event
 			for _, name := range c.Args().Slice() {
@@ -25,15 +25,15 @@
 				}
 				all = append(all, events...)
 			}
-			broken := history.Check(all)
-			for _, v := range broken {
+			violations := history.Check(all)
+			for _, v := range violations {
 				fmt.Println(v)
 			}
-			p := history.SumPrefill(all)
+			prefill := history.SumPrefill(all)
 			fmt.Printf("%d events, %d violations; prompt tokens %d, computed %d, wasted prefill %.3f (repeated %d, unread %d)\n",
-				len(all), len(broken), p.Prompt, p.Computed, p.Wasted(), p.Repeated, p.Unread)
-			if len(broken) > 0 {
-				return failure.New(failure.Internal, "%d promises broken", len(broken))
+				len(all), len(violations), prefill.Prompt, prefill.Computed, prefill.Wasted(), prefill.Repeated, prefill.Unread)
+			if len(violations) > 0 {
+				return failure.New(failure.Internal, "%d guarantees violated", len(violations))
 			}
 			return nil
 		},
@@ -51,41 +51,41 @@
 
 func replayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "run recorded traces against the scheduler's core in virtual time and compare with their stated outcomes", ArgsUsage: "FILE...",
+		Name: "replay", Usage: "replay recorded traces through the scheduler core in virtual time and compare the outcomes with those recorded", ArgsUsage: "FILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
-			different := 0
+			total := 0
 			for _, name := range c.Args().Slice() {
-				n, err := replayOne(name)
+				differences, err := replayFile(name)
 				if err != nil {
 					return err
 				}
-				different += n
+				total += differences
 			}
-			if different > 0 {
-				return failure.New(failure.Internal, "%d outcomes differ", different)
+			if total > 0 {
+				return failure.New(failure.Internal, "%d outcomes differ", total)
 			}
 			return nil
 		},
 	}
 }
 
-func replayOne(name string) (different int, err error) {
+func replayFile(name string) (different int, err error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return 0, failure.Wrap(failure.BadRequest, err, "trace")
 	}
 	defer func() { _ = f.Close() }()
-	t, err := replay.Read(f)
+	trace, err := replay.Read(f)
 	if err != nil {
 		return 0, err
 	}
-	r := replay.Run(t, replay.Core(core.DefaultPolicy()))
-	fmt.Printf("%s: virtual end %s, wasted prefill %.3f\n", name, r.Ended, r.Wasted())
-	for _, n := range r.Numbers() {
-		tier := r.Tiers[n]
+	result := replay.Run(trace, replay.Core(core.DefaultPolicy()))
+	fmt.Printf("%s: virtual end %s, wasted prefill %.3f\n", name, result.Ended, result.Wasted())
+	for _, n := range result.Numbers() {
+		tier := result.Tiers[n]
 		fmt.Printf("  tier %d: %d offered, %d in time, %d late, %d shed\n", n, tier.Offered, tier.InTime, tier.Late, tier.Shed)
 	}
-	diffs := r.Differences(t)
+	diffs := result.Differences(trace)
 	for _, d := range diffs {
 		fmt.Println("  differs:", d)
 	}
--- a/cmd/gentianctl/quarantine.go
+++ b/cmd/gentianctl/quarantine.go
@@ -15,17 +15,17 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// quarantineCommand shows and releases requests that are kept from servers because
-// servers ended while they ran them.
+// quarantineCommand lists and releases quarantined requests: those that are not
+// run because servers ended while running them.
 func quarantineCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
 	return &cli.Command{
-		Name: "quarantine", Usage: "requests that are not run because servers ended while they ran them",
+		Name: "quarantine", Usage: "manage requests that are not run because servers ended while running them",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list them", Flags: []cli.Flag{address}, Action: listQuarantine},
+			{Name: "list", Usage: "list quarantined requests", Flags: []cli.Flag{address}, Action: listQuarantine},
 			{
-				Name: "release", Usage: "have one run again; the home notices within 10 s", ArgsUsage: "FINGERPRINT",
-				Description: "Release a request when the servers were mended. One that still ends servers ends\nthree more before it is kept from them again.",
+				Name: "release", Usage: "allow a request to run again; takes effect on the home, the host that runs the scheduler, within 10 s", ArgsUsage: "FINGERPRINT",
+				Description: "Release a request once the servers are fixed. A request that still ends servers ends\nthree more before it is quarantined again.",
 				Flags:       []cli.Flag{address}, Action: releaseQuarantine,
 			},
 		},
@@ -41,29 +41,29 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FINGERPRINT\tACCOUNT\tSERVICE\tSINCE\tTRIED IN\tBY\tSERVERS")
 	for _, r := range rows {
-		f, row, err := quarantine.DecodeRow(r.Key, r.Value)
+		fingerprint, row, err := quarantine.DecodeRow(r.Key, r.Value)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, failure.From(err).Message)
 			continue
 		}
-		tried := max(0, time.UnixMilli(row.RetryMs).Sub(now)).Round(time.Second).String()
+		retryIn := max(0, time.UnixMilli(row.RetryMs).Sub(now)).Round(time.Second).String()
 		if row.Released {
-			tried = "released"
+			retryIn = "released"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f, row.Account, row.Service,
-			row.Age(now).Round(time.Second), tried, row.By, strings.Join(row.Servers, " "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", fingerprint, row.Account, row.Service,
+			row.Age(now).Round(time.Second), retryIn, row.By, strings.Join(row.Servers, " "))
 	}
 	return w.Flush()
 }
 
 func releaseQuarantine(ctx context.Context, c *cli.Command) error {
-	f, ok := quarantine.Parse(c.Args().First())
+	fingerprint, ok := quarantine.Parse(c.Args().First())
 	if !ok {
-		return failure.New(failure.BadRequest, "give the fingerprint as gentianctl platform quarantine list shows it")
+		return failure.New(failure.BadRequest, "a fingerprint, as printed by gentianctl platform quarantine list, is required")
 	}
 	text, err := quarantine.Row{Released: true}.Encode()
 	if err != nil {
 		return err
 	}
-	return platform.NewStore(c.String("store")).Put(ctx, platform.QuarantineTable, f.String(), text)
+	return platform.NewStore(c.String("store")).Put(ctx, platform.QuarantineTable, fingerprint.String(), text)
 }
--- a/cmd/gentianctl/rollout.go
+++ b/cmd/gentianctl/rollout.go
@@ -13,22 +13,23 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// rolloutCommand shows the roll-outs of services' new versions, and holds or ends one.
+// rolloutCommand lists the roll-outs of new service versions and pauses, resumes or
+// rolls back one.
 func rolloutCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
-	wish := func(name, usage string, w rollout.Wish) *cli.Command {
+	newCommand := func(name, usage string, cmd rollout.Wish) *cli.Command {
 		return &cli.Command{
-			Name: name, Usage: usage + "; the home notices within some seconds", ArgsUsage: "SERVICE", Flags: []cli.Flag{address},
-			Action: func(ctx context.Context, c *cli.Command) error { return writeWish(ctx, c, w) },
+			Name: name, Usage: usage + "; takes effect on the home, the host that runs the scheduler, within seconds", ArgsUsage: "SERVICE", Flags: []cli.Flag{address},
+			Action: func(ctx context.Context, c *cli.Command) error { return writeCommand(ctx, c, cmd) },
 		}
 	}
 	return &cli.Command{
-		Name: "rollout", Usage: "roll-outs of services' new versions",
+		Name: "rollout", Usage: "manage roll-outs of new service versions",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list them with their state, who carries them and what decided", Flags: []cli.Flag{address}, Action: listRollouts},
-			wish("pause", "try and move nothing for now", rollout.WishPause),
-			wish("resume", "end a pause", rollout.WishResume),
-			wish("take-back", "take the new version back", rollout.WishTakeBack),
+			{Name: "list", Usage: "list roll-outs with their phase, the host that runs them and the reason", Flags: []cli.Flag{address}, Action: listRollouts},
+			newCommand("pause", "pause the trial of the new version and the moves to it", rollout.WishPause),
+			newCommand("resume", "resume a paused roll-out", rollout.WishResume),
+			newCommand("take-back", "roll back to the old version", rollout.WishTakeBack),
 		},
 	}
 }
@@ -55,10 +56,10 @@
 	return w.Flush()
 }
 
-func writeWish(ctx context.Context, c *cli.Command, w rollout.Wish) error {
+func writeCommand(ctx context.Context, c *cli.Command, cmd rollout.Wish) error {
 	service := c.Args().First()
 	if service == "" {
-		return failure.New(failure.BadRequest, "give the SERVICE as gentianctl platform rollout list shows it")
+		return failure.New(failure.BadRequest, "a SERVICE, as printed by gentianctl platform rollout list, is required")
 	}
-	return platform.NewStore(c.String("store")).Put(ctx, platform.RolloutTable, rollout.WishKey(service), []byte(w))
+	return platform.NewStore(c.String("store")).Put(ctx, platform.RolloutTable, rollout.WishKey(service), []byte(cmd))
 }
