--- a/cmd/gentianlab/load.go
+++ b/cmd/gentianlab/load.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	lookupEvery = time.Second
-	readyWait   = 10 * time.Second
+	lookupInterval = time.Second
+	readyTimeout   = 10 * time.Second
 )
 
-// loader sends the load. mu guards addresses and report.
+// loader sends a load to the entry hosts. mu guards addresses and report.
 type loader struct {
-	hosts     []string // look-up addresses
-	caller    *standin.Caller
-	load      lab.Load
-	mu        sync.Mutex
-	addresses []string
-	report    *lab.Result
+	lookupAddresses []string // where hosts serve look-ups
+	caller          *standin.Caller
+	load            lab.Load
+	mu              sync.Mutex
+	addresses       []string
+	report          *lab.Result
 }
 
 func sendLoad(ctx context.Context, cmd *cli.Command) error {
@@ -48,41 +48,41 @@
 	}
 	seed := cmd.Uint64("seed")
 	l := &loader{caller: standin.NewCaller(), load: load, report: lab.NewResult(cmd.String("label"), seed, load)}
-	if err := l.readHosts(cmd.String("dir")); err != nil {
+	if err := l.readLookupAddresses(cmd.String("dir")); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait+load.Length)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout+load.Length)
 	defer cancel()
-	for len(l.current()) < len(l.hosts) && ctx.Err() == nil {
+	for len(l.currentAddresses()) < len(l.lookupAddresses) && ctx.Err() == nil {
 		l.lookup()
 		time.Sleep(100 * time.Millisecond)
 	}
 	l.run(ctx, load.Draw(seed))
-	return l.conclude(cmd.String("report"))
+	return l.finish(cmd.String("report"))
 }
 
-// conclude prints what came of the load; an answer that is whole but not the
-// server's is an error.
-func (l *loader) conclude(path string) error {
+// finish prints the report and writes it to path unless that is empty. It returns
+// an error if any answer was complete but differed from what the server sent.
+func (l *loader) finish(path string) error {
 	l.report.Print(os.Stdout)
 	var err error
 	if path != "" {
 		err = l.report.Write(path)
 	}
 	wrong := 0
-	for _, t := range l.report.Kinds {
-		wrong += t.Ends[lab.Wrong]
+	for _, kind := range l.report.Kinds {
+		wrong += kind.Ends[lab.Wrong]
 	}
 	if wrong > 0 {
-		err = errors.Join(err, failure.New(failure.ServerError, "%d answers were whole but wrong", wrong))
+		err = errors.Join(err, failure.New(failure.ServerError, "%d answers were complete but wrong", wrong))
 	}
 	return err
 }
 
-// compareReports prints two reports beside each other, and plots them.
+// compareReports prints two reports side by side and plots them if asked to.
 func compareReports(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
-		return failure.New(failure.BadRequest, "compare needs two reports, as `gentianlab load --report` writes them")
+		return failure.New(failure.BadRequest, "compare needs two reports written by `gentianlab load --report`")
 	}
 	var reports []*lab.Result
 	for _, path := range cmd.Args().Slice() {
@@ -101,8 +101,9 @@
 	return nil
 }
 
-// readHosts finds the look-up addresses in the settings files.
-func (l *loader) readHosts(dir string) error {
+// readLookupAddresses reads the hosts' look-up addresses from the settings files in
+// dir.
+func (l *loader) readLookupAddresses(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.conf"))
 	if err != nil {
 		return err
@@ -113,28 +114,29 @@
 			return err
 		}
 		for line := range strings.Lines(string(text)) {
-			if at, ok := strings.CutPrefix(strings.TrimSpace(line), "listen.directory="); ok {
-				l.hosts = append(l.hosts, at)
+			if address, ok := strings.CutPrefix(strings.TrimSpace(line), "listen.directory="); ok {
+				l.lookupAddresses = append(l.lookupAddresses, address)
 			}
 		}
 	}
-	if len(l.hosts) == 0 {
+	if len(l.lookupAddresses) == 0 {
 		return fmt.Errorf("no settings files in %s; start `gentianlab platform` first", dir)
 	}
 	return nil
 }
 
-func (l *loader) current() []string {
+func (l *loader) currentAddresses() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addresses
 }
 
-// lookup asks up to three hosts which addresses to use.
+// lookup updates the entry addresses from the first of up to three random hosts
+// that answers.
 func (l *loader) lookup() {
 	client := http.Client{Timeout: time.Second}
-	for _, i := range rand.Perm(len(l.hosts))[:min(3, len(l.hosts))] {
-		resp, err := client.Get("http://" + l.hosts[i] + "/resolve?name=" + standin.Host)
+	for _, i := range rand.Perm(len(l.lookupAddresses))[:min(3, len(l.lookupAddresses))] {
+		resp, err := client.Get("http://" + l.lookupAddresses[i] + "/resolve?name=" + standin.Host)
 		if err != nil {
 			continue
 		}
@@ -142,7 +144,7 @@
 			Addresses []string `json:"addresses"`
 		}
 		err = json.NewDecoder(resp.Body).Decode(&body)
-		_ = resp.Body.Close() // read, or of no use
+		_ = resp.Body.Close() // the body is decoded or discarded
 		if err == nil && len(body.Addresses) > 0 {
 			l.mu.Lock()
 			l.addresses = body.Addresses
@@ -152,59 +154,60 @@
 	}
 }
 
-// run sends each request at its time, looking up hosts as callers do.
+// run sends each request at its time and repeats the look-up as callers do.
 func (l *loader) run(ctx context.Context, requests []lab.Request) {
 	var calls sync.WaitGroup
 	start := time.Now()
-	looked := start
-	for _, q := range requests {
+	lastLookup := start
+	for _, request := range requests {
 		select {
-		case <-time.After(time.Until(start.Add(q.At))):
+		case <-time.After(time.Until(start.Add(request.At))):
 		case <-ctx.Done():
 			calls.Wait()
 			return
 		}
-		if time.Since(looked) > lookupEvery {
-			looked = time.Now()
+		if time.Since(lastLookup) > lookupInterval {
+			lastLookup = time.Now()
 			calls.Go(l.lookup)
 		}
-		calls.Go(func() { l.one(ctx, q) })
+		calls.Go(func() { l.sendOne(ctx, request) })
 	}
 	calls.Wait()
 }
 
-func (l *loader) one(ctx context.Context, q lab.Request) {
-	k := l.load.Kinds[q.Kind]
-	c := standin.Call{
-		Path: k.Path, Body: k.Body, Key: standin.AccountKey, Prompt: q.Prompt, Output: q.Output, Deadline: k.Deadline,
+func (l *loader) sendOne(ctx context.Context, request lab.Request) {
+	kind := l.load.Kinds[request.Kind]
+	call := standin.Call{
+		Path: kind.Path, Body: kind.Body, Key: standin.AccountKey, Prompt: request.Prompt, Output: request.Output, Deadline: kind.Deadline,
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Deadline)
+	ctx, cancel := context.WithTimeout(ctx, call.Deadline)
 	defer cancel()
-	addresses := l.current()
+	addresses := l.currentAddresses()
 	if len(addresses) == 0 {
 		return
 	}
-	r := l.caller.Send(ctx, addresses[rand.IntN(len(addresses))], c)
-	end, latency := judge(k, c, r)
+	reply := l.caller.Send(ctx, addresses[rand.IntN(len(addresses))], call)
+	end, latency := classify(kind, call, reply)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.report.Add(q, end, latency)
+	l.report.Add(request, end, latency)
 }
 
-// judge tells how a request ended for its caller.
-func judge(k lab.Kind, c standin.Call, r standin.Reply) (lab.End, time.Duration) {
-	latency := r.Took
-	if c.Prompt > 0 {
-		latency = r.FirstByte
+// classify returns how a request ended for its caller, and its latency: until the
+// first byte for requests with a prompt, until the whole answer for others.
+func classify(kind lab.Kind, call standin.Call, reply standin.Reply) (lab.End, time.Duration) {
+	latency := reply.Took
+	if call.Prompt > 0 {
+		latency = reply.FirstByte
 	}
 	switch {
-	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests:
+	case reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests:
 		return lab.Refused, latency
-	case r.Status != http.StatusOK || !r.Whole:
+	case reply.Status != http.StatusOK || !reply.Whole:
 		return lab.Failed, latency
-	case r.Body != c.Expected(r.Attempt):
+	case reply.Body != call.Expected(reply.Attempt):
 		return lab.Wrong, latency
-	case latency > k.Aim:
+	case latency > kind.Aim:
 		return lab.Late, latency
 	}
 	return lab.InTime, latency
--- a/cmd/gentianlab/main.go
+++ b/cmd/gentianlab/main.go
@@ -1,5 +1,5 @@
-// Command gentianlab plays the platform's part on one machine: its store,
-// operator, backend servers and callers, for the demo and for experiments.
+// Command gentianlab simulates the platform on one machine for the demo and for
+// experiments: its store, operator, backend servers and callers.
 package main
 
 import (
@@ -24,36 +24,36 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "gentianlab",
-		Usage: "play the platform around entry hosts on loopback",
+		Usage: "simulate the platform around entry hosts on loopback",
 		Commands: []*cli.Command{
 			{
 				Name: "platform", Usage: "serve the store and backend servers, and write a settings file for each host",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "dir", Usage: "where the settings files go", Required: true},
-					&cli.StringFlag{Name: "subnet", Usage: "first three numbers of the hosts' addresses", Value: "127.4.0"},
+					&cli.StringFlag{Name: "dir", Usage: "folder to write the settings files to", Required: true},
+					&cli.StringFlag{Name: "subnet", Usage: "first three octets of the hosts' addresses", Value: "127.4.0"},
 					&cli.IntFlag{Name: "hosts", Usage: "number of entry hosts", Value: 6},
-					&cli.IntFlag{Name: "engines", Usage: "number of engines; their speeds go round 0.6, 1.7, 1.7", Value: 6},
-					&cli.IntFlag{Name: "apps", Usage: "number of plain servers", Value: 3},
+					&cli.IntFlag{Name: "engines", Usage: "number of engines; their speeds cycle through 0.6, 1.7, 1.7", Value: 6},
+					&cli.IntFlag{Name: "apps", Usage: "number of servers of the plain service", Value: 3},
 				},
 				Action: servePlatform,
 			},
 			{
-				Name: "load", Usage: "send a load described in a file, check every answer, print what came of it",
+				Name: "load", Usage: "send a load described in a file, check every answer and print a report",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "dir", Usage: "the folder of the settings files", Required: true},
-					&cli.StringFlag{Name: "load", Usage: "the load's file", Value: "traces/loads/mixed.yaml"},
-					&cli.Uint64Flag{Name: "seed", Usage: "draws the same requests each time", Value: 1},
-					&cli.FloatFlag{Name: "rate", Usage: "requests a second, instead of the file's"},
-					&cli.DurationFlag{Name: "for", Usage: "length of the load, instead of the file's"},
-					&cli.StringFlag{Name: "label", Usage: "names the build or policy in the report", Value: "this build"},
-					&cli.StringFlag{Name: "report", Usage: "write a report for compare to this file"},
+					&cli.StringFlag{Name: "dir", Usage: "folder of the settings files", Required: true},
+					&cli.StringFlag{Name: "load", Usage: "file that describes the load", Value: "traces/loads/mixed.yaml"},
+					&cli.Uint64Flag{Name: "seed", Usage: "random seed; the same seed gives the same requests", Value: 1},
+					&cli.FloatFlag{Name: "rate", Usage: "requests per second, overrides the file"},
+					&cli.DurationFlag{Name: "for", Usage: "length of the load, overrides the file"},
+					&cli.StringFlag{Name: "label", Usage: "name of the build or policy in the report", Value: "this build"},
+					&cli.StringFlag{Name: "report", Usage: "file to write a report to, for use with compare"},
 				},
 				Action: sendLoad,
 			},
 			{
-				Name: "compare", Usage: "print two reports of the same work beside each other", ArgsUsage: "REPORT REPORT",
+				Name: "compare", Usage: "print two reports of the same load side by side", ArgsUsage: "REPORT REPORT",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "plot", Usage: "draw worth by kind over time into this file (.svg, .png, .pdf)"},
+					&cli.StringFlag{Name: "plot", Usage: "file to plot the worth of answers over time to, by request kind (.svg, .png, .pdf)"},
 				},
 				Action: compareReports,
 			},
--- a/cmd/gentianlab/platform.go
+++ b/cmd/gentianlab/platform.go
@@ -12,13 +12,13 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// The stand-in's places and ports.
+// The port of the store, and the capacity and timing of the backend servers.
 const (
-	storePort  = 8225
-	slots      = 8
-	queue      = 24
-	eventPause = 20 * time.Millisecond // three tokens at speed 1
-	callWork   = 15 * time.Millisecond
+	storePort     = 8225
+	serverSlots   = 8
+	serverQueue   = 24
+	eventInterval = 20 * time.Millisecond // three tokens at speed 1
+	callDuration  = 15 * time.Millisecond
 )
 
 var (
@@ -26,14 +26,14 @@
 	speeds = []float64{0.6, 1.7, 1.7}
 )
 
-func zone(i int) string { return zones[i%len(zones)] }
+func zoneOf(i int) string { return zones[i%len(zones)] }
 
 func servePlatform(ctx context.Context, cmd *cli.Command) error {
 	store := standin.NewStore()
 	address := fmt.Sprintf("%s.250:%d", cmd.String("subnet"), storePort)
 	srv := &http.Server{Addr: address, Handler: store.Handler(), ReadHeaderTimeout: time.Second}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.ListenAndServe() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.ListenAndServe() }()
 	standin.NewConfig().Put(store)
 	if err := startServers(store, cmd); err != nil {
 		return err
@@ -44,7 +44,7 @@
 		}
 	}
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 		return srv.Close()
@@ -54,8 +54,8 @@
 func startServers(store *standin.Store, cmd *cli.Command) error {
 	for i := range cmd.Int("engines") {
 		_, err := standin.StartServer(store, standin.ServerSpec{
-			ID: fmt.Sprintf("engine-%d", i), Service: standin.EngineName, Zone: zone(i), Address: "127.0.0.1:0",
-			Slots: slots, Queue: queue, Streams: true, PerEvent: eventPause, Speed: speeds[i%len(speeds)],
+			ID: fmt.Sprintf("engine-%d", i), Service: standin.EngineName, Zone: zoneOf(i), Address: "127.0.0.1:0",
+			Slots: serverSlots, Queue: serverQueue, Streams: true, PerEvent: eventInterval, Speed: speeds[i%len(speeds)],
 		})
 		if err != nil {
 			return err
@@ -63,8 +63,8 @@
 	}
 	for i := range cmd.Int("apps") {
 		_, err := standin.StartServer(store, standin.ServerSpec{
-			ID: fmt.Sprintf("app-%d", i), Service: standin.AppName, Zone: zone(i), Address: "127.0.0.1:0",
-			Slots: slots, Queue: queue, Work: callWork,
+			ID: fmt.Sprintf("app-%d", i), Service: standin.AppName, Zone: zoneOf(i), Address: "127.0.0.1:0",
+			Slots: serverSlots, Queue: serverQueue, Work: callDuration,
 		})
 		if err != nil {
 			return err
@@ -76,6 +76,6 @@
 // writeSettings writes the settings file of one host.
 func writeSettings(cmd *cli.Command, i int, store string) error {
 	name := fmt.Sprintf("entry-%d", i)
-	h := standin.HostSettings{Name: name, IP: fmt.Sprintf("%s.%d", cmd.String("subnet"), i+1), Zone: zone(i), Store: store}
-	return h.Write(filepath.Join(cmd.String("dir"), name+".conf"))
+	settings := standin.HostSettings{Name: name, IP: fmt.Sprintf("%s.%d", cmd.String("subnet"), i+1), Zone: zoneOf(i), Store: store}
+	return settings.Write(filepath.Join(cmd.String("dir"), name+".conf"))
 }
--- a/cmd/gentianlab/rollout.go
+++ b/cmd/gentianlab/rollout.go
@@ -15,32 +15,32 @@
 
 func rolloutCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rollout", Usage: "play roll-outs of sound and bad versions against the scheduler in virtual time",
+		Name: "rollout", Usage: "simulate roll-outs of sound and bad versions on the scheduler in virtual time",
 		ArgsUsage: "[NAME]...",
-		Description: "Plays those whose names begin with an argument, or all. EXPOSED is what the new version got\n" +
-			"as a part of what a bad one may get; LATE counts what a bad one got over 2.5 s after its\n" +
-			"fiftieth bad answer, LOST runs that ended with the old servers. BEST is the part of bad\n" +
-			"versions that the best of all tests completes when it takes back one in 300 sound ones: what\n" +
-			"lies between it and COMPLETED could be had by a better judge.",
-		Flags:  []cli.Flag{&cli.IntFlag{Name: "seeds", Usage: "plays of each", Value: 20}},
-		Action: playRollouts,
+		Description: "Simulates roll-outs whose names begin with an argument, or all. EXPOSED is the number of\n" +
+			"requests sent to the new version as a fraction of what a bad one may get; LATE counts those\n" +
+			"sent to a bad one over 2.5 s after its fiftieth bad answer, LOST runs that ended with the old\n" +
+			"servers. BEST is the fraction of bad versions completed by the optimal test that rolls back\n" +
+			"one in 300 sound ones: a better test could at most close the gap between it and COMPLETED.",
+		Flags:  []cli.Flag{&cli.IntFlag{Name: "seeds", Usage: "number of runs of each roll-out", Value: 20}},
+		Action: simulateRollouts,
 	}
 }
 
-func playRollouts(_ context.Context, c *cli.Command) error {
+func simulateRollouts(_ context.Context, c *cli.Command) error {
 	seeds := c.Int("seeds")
 	if seeds < 1 {
 		return failure.New(failure.BadRequest, "--seeds: %d; at least 1", seeds)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROLL-OUT\tCOMPLETED\tTAKEN BACK\tRUNNING\tBEST\tEXPOSED\tMOST\tENDED\tBAD\tLATE\tLOST")
-	for _, r := range experiment.Rollouts() {
-		if !chosen(r.Name, c.Args().Slice()) {
+	for _, scenario := range experiment.Rollouts() {
+		if !matchesPrefix(scenario.Name, c.Args().Slice()) {
 			continue
 		}
-		s := experiment.SumRollouts(r, seeds)
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%.2f\t%.2f\t%.1fs\t%d\t%d\t%d\n", r.Name, s.Completed, s.RolledBack, s.Running,
-			best(r), s.Exposure, s.MostExposure, s.Ended.Seconds(), s.Bad, s.Late, s.Lost)
+		sum := experiment.SumRollouts(scenario, seeds)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%.2f\t%.2f\t%.1fs\t%d\t%d\t%d\n", scenario.Name, sum.Completed, sum.RolledBack, sum.Running,
+			formatBound(scenario), sum.Exposure, sum.MostExposure, sum.Ended.Seconds(), sum.Bad, sum.Late, sum.Lost)
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -48,20 +48,21 @@
 	return nil
 }
 
-// boundPlays is how many plays the bound is worked out over.
-const boundPlays = 3000
+// boundRuns is the number of simulated runs from which the bound is computed.
+const boundRuns = 3000
 
-// best tells the bound of a roll-out, "-" where there is none.
-func best(r *experiment.Rollout) string {
-	missed, ok := experiment.BestMisses(r, boundPlays)
+// formatBound formats the bound of a roll-out, "-" if there is none.
+func formatBound(scenario *experiment.Rollout) string {
+	missed, ok := experiment.BestMisses(scenario, boundRuns)
 	if !ok {
 		return "-"
 	}
 	return fmt.Sprintf("%.3f", missed)
 }
 
-// chosen reports whether a name begins with one of the prefixes, or there are none.
-func chosen(name string, prefixes []string) bool {
+// matchesPrefix reports whether a name begins with one of the prefixes, or there are no
+// prefixes.
+func matchesPrefix(name string, prefixes []string) bool {
 	for _, p := range prefixes {
 		if strings.HasPrefix(name, p) {
 			return true
