--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -15,15 +15,15 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send a mix of all kinds of work and print goodput by tier",
+		Name: "load", Usage: "send a mix of request kinds and print goodput by tier",
 		Flags: []cli.Flag{
 			historyFlag(),
-			&cli.StringSliceFlag{Name: "entry", Usage: "callers' address of an entry host", Required: true},
+			&cli.StringSliceFlag{Name: "entry", Usage: "address of an entry host for callers", Required: true},
 			&cli.StringFlag{Name: "secret", Usage: "secret of the client account", Required: true},
 			&cli.StringFlag{Name: "availability-zone"},
-			&cli.StringFlag{Name: "fleet", Value: "tsumugi", Usage: "tsumugi or qasida"},
+			&cli.StringFlag{Name: "fleet", Value: "tsumugi", Usage: "request mix: tsumugi or qasida"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second},
-			&cli.FloatFlag{Name: "rate", Value: 20, Usage: "model requests a second"},
+			&cli.FloatFlag{Name: "rate", Value: 20, Usage: "model requests per second"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: load,
@@ -31,37 +31,37 @@
 }
 
 func load(ctx context.Context, c *cli.Command) error {
-	works := standin.TsumugiMix(c.Float("rate"))
+	mix := standin.TsumugiMix(c.Float("rate"))
 	if c.String("fleet") == "qasida" {
-		works = standin.QasidaMix(c.Float("rate"))
+		mix = standin.QasidaMix(c.Float("rate"))
 	}
-	log, err := openHistory(c)
+	historyLog, err := openHistory(c)
 	if err != nil {
 		return err
 	}
-	l := &standin.Load{Clients: map[string]*caller.Client{}, Works: works, Seed: c.Uint64("seed")}
-	for _, w := range works {
-		if l.Clients[w.Service] == nil {
-			l.Clients[w.Service] = newClient(c, w.Service, works, log)
+	generator := &standin.Load{Clients: map[string]*caller.Client{}, Works: mix, Seed: c.Uint64("seed")}
+	for _, work := range mix {
+		if generator.Clients[work.Service] == nil {
+			generator.Clients[work.Service] = newClient(c, work.Service, mix, historyLog)
 		}
 	}
-	l.Run(ctx, c.Duration("for"))
-	printResults(l.Results())
+	generator.Run(ctx, c.Duration("for"))
+	printResults(generator.Results())
 	return nil
 }
 
-func newClient(c *cli.Command, service string, works []standin.Work, log *history.Log) *caller.Client {
+func newClient(c *cli.Command, service string, mix []standin.Work, historyLog *history.Log) *caller.Client {
 	tiers := map[string]int{}
-	for _, w := range works {
-		tiers[w.Kind] = w.Tier
+	for _, work := range mix {
+		tiers[work.Kind] = work.Tier
 	}
-	opt := caller.Options{
+	options := caller.Options{
 		Service: service, Secret: c.String("secret"), AvailabilityZone: c.String("availability-zone"), Hosts: c.StringSlice("entry"),
 	}
-	if log != nil {
-		opt.Observer = &standin.Recorder{Log: log, Source: "load", Service: service, Tiers: tiers}
+	if historyLog != nil {
+		options.Observer = &standin.Recorder{Log: historyLog, Source: "load", Service: service, Tiers: tiers}
 	}
-	return caller.New(opt)
+	return caller.New(options)
 }
 
 func printResults(results []standin.TierResult) {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs small stand-ins for what surrounds the system, and a
-// load of callers: the platform, a model engine, a plain service, a load.
-// It is scaffolding for the demo; no part of the system depends on it.
+// Command standin runs small stand-ins for the system's environment in the demo:
+// the platform, model engines, a plain service, and a load generator for callers.
+// No part of the system depends on it.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	cmd := &cli.Command{
-		Name: "standin", Usage: "stand-ins for the platform and backend servers, and a load",
+		Name: "standin", Usage: "run stand-ins for the platform and backend servers, and a load generator",
 		Commands: []*cli.Command{platformCommand(), engineCommand(), serviceCommand(), loadCommand()},
 	}
 	if err := cmd.Run(ctx, os.Args); err != nil {
@@ -33,11 +33,11 @@
 }
 
 func addressFlag() cli.Flag {
-	return &cli.StringFlag{Name: "address", Usage: "IP:port to listen on", Required: true}
+	return &cli.StringFlag{Name: "address", Usage: "listen address, IP:port", Required: true}
 }
 
 func historyFlag() cli.Flag {
-	return &cli.StringFlag{Name: "history", Usage: "file for the recorded history"}
+	return &cli.StringFlag{Name: "history", Usage: "file to record the history to"}
 }
 
 func openHistory(c *cli.Command) (*history.Log, error) {
@@ -54,26 +54,26 @@
 
 func platformCommand() *cli.Command {
 	return &cli.Command{
-		Name: "platform", Usage: "table service, object store and host list",
-		Flags: []cli.Flag{addressFlag(), &cli.DurationFlag{Name: "host-lag", Value: time.Second, Usage: "how far the host list lags"}},
+		Name: "platform", Usage: "run the table service, object store and host list",
+		Flags: []cli.Flag{addressFlag(), &cli.DurationFlag{Name: "host-lag", Value: time.Second, Usage: "delay until changes show in the host list"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return standin.Serve(ctx, c.String("address"), standin.NewPlatform(c.Duration("host-lag")).Handler())
 		},
 	}
 }
 
-// engineCommand runs the engines of one service in one process: they share
-// nothing but the count of prompt tokens that one computes though another
-// holds them.
+// engineCommand runs all engines of one service in one process. They share only
+// the record of cached blocks, which serves to count prompt tokens that an engine
+// computes although another engine has them cached.
 func engineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "engines", Usage: "the model engines of one service",
+		Name: "engines", Usage: "run the model engines of one service",
 		Flags: []cli.Flag{
 			historyFlag(),
-			&cli.StringSliceFlag{Name: "engine", Usage: "NAME=IP:port=SPEED, once for each engine", Required: true},
+			&cli.StringSliceFlag{Name: "engine", Usage: "NAME=IP:port=SPEED, given once for each engine", Required: true},
 			&cli.DurationFlag{Name: "load-lag", Value: 500 * time.Millisecond},
 			&cli.DurationFlag{Name: "cache-lag", Value: 500 * time.Millisecond},
-			&cli.IntFlag{Name: "drop-every", Value: 10, Usage: "every n-th cache event is lost"},
+			&cli.IntFlag{Name: "drop-every", Value: 10, Usage: "drop every n-th cache event"},
 			&cli.BoolFlag{Name: "checks-fencing"},
 		},
 		Action: engines,
@@ -81,12 +81,12 @@
 }
 
 func engines(ctx context.Context, c *cli.Command) error {
-	h, err := openHistory(c)
+	historyLog, err := openHistory(c)
 	if err != nil {
 		return err
 	}
 	group := standin.NewGroup()
-	failed := make(chan error, len(c.StringSlice("engine")))
+	serveErr := make(chan error, len(c.StringSlice("engine")))
 	for _, spec := range c.StringSlice("engine") {
 		parts := strings.Split(spec, "=")
 		if len(parts) != 3 {
@@ -96,30 +96,30 @@
 		if err != nil {
 			return fmt.Errorf("--engine %q: %w", spec, err)
 		}
-		e := standin.NewEngine(standin.EngineOptions{
+		engine := standin.NewEngine(standin.EngineOptions{
 			Name: parts[0], Speed: speed, LoadLag: c.Duration("load-lag"), CacheLag: c.Duration("cache-lag"),
-			DropEvery: c.Int("drop-every"), ChecksFencing: c.Bool("checks-fencing"), History: h, Group: group,
+			DropEvery: c.Int("drop-every"), ChecksFencing: c.Bool("checks-fencing"), History: historyLog, Group: group,
 		})
-		go e.Run(ctx)
-		go func() { failed <- standin.Serve(ctx, parts[1], e.Handler()) }()
+		go engine.Run(ctx)
+		go func() { serveErr <- standin.Serve(ctx, parts[1], engine.Handler()) }()
 	}
-	return <-failed
+	return <-serveErr
 }
 
 func serviceCommand() *cli.Command {
 	return &cli.Command{
-		Name: "service", Usage: "a plain service",
+		Name: "service", Usage: "run a plain service",
 		Flags: []cli.Flag{
 			addressFlag(), historyFlag(),
 			&cli.StringFlag{Name: "name", Required: true},
 			&cli.DurationFlag{Name: "work", Value: 5 * time.Millisecond},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			h, err := openHistory(c)
+			historyLog, err := openHistory(c)
 			if err != nil {
 				return err
 			}
-			return standin.Serve(ctx, c.String("address"), standin.NewService(c.String("name"), c.Duration("work"), h).Handler())
+			return standin.Serve(ctx, c.String("address"), standin.NewService(c.String("name"), c.Duration("work"), historyLog).Handler())
 		},
 	}
 }
