--- a/internal/standin/blockcache.go
+++ b/internal/standin/blockcache.go
@@ -6,7 +6,7 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// blockCache keeps the newest blocks. Engine.mu guards it.
+// blockCache is an LRU cache of prompt blocks. Engine.mu guards it.
 type blockCache struct {
 	blocks *lru.Cache[prefix.Key, struct{}]
 }
@@ -14,17 +14,18 @@
 func newBlockCache(size int) blockCache {
 	c, err := lru.New[prefix.Key, struct{}](max(1, size))
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // New fails only for sizes below 1
 	}
 	return blockCache{blocks: c}
 }
 
+// touch marks a block as recently used and reports whether it is cached.
 func (c blockCache) touch(k prefix.Key) bool {
 	_, ok := c.blocks.Get(k)
 	return ok
 }
 
-// add stores a block and returns the one that it pushed out.
+// add stores a block and returns the block that was evicted for it, if any.
 func (c blockCache) add(k prefix.Key) (old prefix.Key, evicted bool) {
 	oldest, _, _ := c.blocks.GetOldest()
 	evicted = c.blocks.Add(k, struct{}{})
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,16 +15,16 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// The engine's step at speed 1.
+// The duration of an engine step at speed 1, and the engine's limits.
 const (
-	stepBase      = 3 * time.Millisecond
-	stepPrefill   = 3 * time.Millisecond // added for a whole chunk
-	stepSequence  = 200 * time.Microsecond
-	chunk         = 512
-	maxSequences  = 32
-	keptStreams   = 4096
-	keptEvents    = 8192
-	loadSnapshots = 4096
+	stepBaseTime     = 3 * time.Millisecond
+	stepChunkTime    = 3 * time.Millisecond // added for a full chunk, in proportion for less
+	stepSequenceTime = 200 * time.Microsecond
+	chunkTokens      = 512
+	maxRunning       = 32
+	maxStreams       = 4096
+	maxCacheEvents   = 8192
+	maxLoadSnapshots = 4096
 )
 
 // EngineOptions describe one engine.
@@ -34,69 +34,69 @@
 	CacheTokens   int
 	LoadLag       time.Duration
 	CacheLag      time.Duration
-	DropEvery     int // every n-th cache event is lost; 0: none
+	DropEvery     int // every n-th cache event is lost; 0 means none
 	ChecksFencing bool
 	History       *history.Log
-	// Group is shared by the engines of one service, to count the prompt
-	// tokens that one computes though another holds them.
+	// Group is shared by the engines of one service to count the prompt tokens
+	// that an engine computes although another one has them cached.
 	Group *Group
 }
 
-// Group knows which engines hold which blocks. mu guards holders.
+// Group counts for each block the engines that have it cached. mu guards counts.
 type Group struct {
-	mu      sync.Mutex
-	holders map[prefix.Key]int
+	mu     sync.Mutex
+	counts map[prefix.Key]int
 }
 
 // NewGroup makes a group.
-func NewGroup() *Group { return &Group{holders: map[prefix.Key]int{}} }
+func NewGroup() *Group { return &Group{counts: map[prefix.Key]int{}} }
 
 func (g *Group) add(k prefix.Key, n int) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
-	g.holders[k] += n
-	if g.holders[k] <= 0 {
-		delete(g.holders, k)
+	g.counts[k] += n
+	if g.counts[k] <= 0 {
+		delete(g.counts, k)
 	}
 	g.mu.Unlock()
 }
 
-func (g *Group) held(k prefix.Key) bool {
+func (g *Group) contains(k prefix.Key) bool {
 	if g == nil {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.holders[k] > 0
+	return g.counts[k] > 0
 }
 
 // stream is one request in the engine. Engine.mu guards it.
 type stream struct {
-	id        string
-	prompt    []prefix.Key
-	tokens    int // of the prompt
-	toCompute int // prompt tokens still to compute
-	computed  int
-	cached    int
-	repeated  int
-	out       int
-	parts     []string
-	done      bool
-	cancelled bool
-	sum       *xxhash.Digest
-	framed    *xxhash.Digest
-	bytes     int
-	changed   chan struct{}
+	id           string
+	prompt       []prefix.Key
+	tokens       int // length of the prompt
+	toCompute    int // prompt tokens still to compute
+	computed     int
+	cached       int
+	repeated     int
+	outputTokens int
+	parts        []string
+	done         bool
+	cancelled    bool
+	partsSum     *xxhash.Digest
+	framedSum    *xxhash.Digest
+	bytes        int
+	changed      chan struct{}
 }
 
-func (s *stream) wake() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-type snapshot struct {
+type loadSnapshot struct {
 	at      time.Time
 	running int
 }
@@ -108,29 +108,30 @@
 	at      time.Time
 }
 
-// Engine batches continuously, caches prompt prefixes and knows no
-// priorities. mu guards all fields below it.
+// Engine simulates a model engine with continuous batching and a prefix cache. It
+// serves requests in order of arrival, without priorities. mu guards all fields
+// below it.
 type Engine struct {
 	opt         EngineOptions
 	incarnation string
 
-	mu       sync.Mutex
-	speed    float64
-	draining bool
-	queue    []*stream
-	running  []*stream
-	streams  map[string]*stream
-	order    []string
-	cache    blockCache
-	events   []cacheEvent
-	eventSeq uint64
-	loads    []snapshot
-	fence    uint64
-	state    string
-	work     chan struct{}
+	mu          sync.Mutex
+	speed       float64
+	draining    bool
+	queue       []*stream
+	running     []*stream
+	streams     map[string]*stream
+	streamOrder []string
+	cache       blockCache
+	events      []cacheEvent
+	eventSeq    uint64
+	loads       []loadSnapshot
+	fence       uint64
+	state       string
+	wakeUp      chan struct{}
 }
 
-// NewEngine makes an engine; Run steps it.
+// NewEngine makes an engine, which works while Run runs.
 func NewEngine(opt EngineOptions) *Engine {
 	if opt.CacheTokens == 0 {
 		opt.CacheTokens = 60000
@@ -138,65 +139,67 @@
 	return &Engine{
 		opt: opt, incarnation: ident.NewIncarnation().String(), speed: opt.Speed,
 		streams: map[string]*stream{}, cache: newBlockCache(opt.CacheTokens / prefix.BlockTokens),
-		work: make(chan struct{}, 1),
+		wakeUp: make(chan struct{}, 1),
 	}
 }
 
-// SetSpeed changes the engine's speed in mid-run.
+// SetSpeed changes the speed of the engine, also while it runs.
 func (e *Engine) SetSpeed(v float64) {
 	e.mu.Lock()
 	e.speed = v
 	e.mu.Unlock()
 }
 
-// SetDraining changes what the engine's load report says.
+// SetDraining sets the draining flag in the engine's load report.
 func (e *Engine) SetDraining(v bool) {
 	e.mu.Lock()
 	e.draining = v
 	e.mu.Unlock()
 }
 
-// Restart empties the engine as a new process on the same address would.
+// Restart simulates a new process on the same address: it cancels all streams, clears
+// the cache and changes the incarnation.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
 		s.cancelled = true
-		s.wake()
+		s.notify()
 	}
 	for _, k := range e.cache.all() {
 		e.opt.Group.add(k, -1)
 	}
 	e.incarnation = ident.NewIncarnation().String()
-	e.queue, e.running, e.order, e.events, e.eventSeq = nil, nil, nil, nil, 0
+	e.queue, e.running, e.streamOrder, e.events, e.eventSeq = nil, nil, nil, nil, 0
 	e.streams = map[string]*stream{}
 	e.cache = newBlockCache(e.opt.CacheTokens / prefix.BlockTokens)
 }
 
-// Run steps the engine until ctx ends.
+// Run executes engine steps until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		d := e.step()
-		if d == 0 {
+		duration := e.step()
+		if duration == 0 {
 			select {
-			case <-e.work:
+			case <-e.wakeUp:
 			case <-time.After(100 * time.Millisecond):
 			case <-ctx.Done():
 			}
 			continue
 		}
-		time.Sleep(d)
+		time.Sleep(duration)
 	}
 }
 
-// step moves every running sequence and returns how long that took.
+// step runs one batch: prefill for one chunk, then one token for each prefilled
+// sequence. It returns how long the step takes, 0 if the engine is idle.
 func (e *Engine) step() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admit()
-	e.loads = append(e.loads, snapshot{at: time.Now(), running: len(e.running) + len(e.queue)})
-	if len(e.loads) > loadSnapshots {
-		e.loads = e.loads[len(e.loads)-loadSnapshots:]
+	e.loads = append(e.loads, loadSnapshot{at: time.Now(), running: len(e.running) + len(e.queue)})
+	if len(e.loads) > maxLoadSnapshots {
+		e.loads = e.loads[len(e.loads)-maxLoadSnapshots:]
 	}
 	if len(e.running) == 0 {
 		return 0
@@ -204,12 +207,12 @@
 	n := len(e.running)
 	prefilled := e.prefill()
 	e.decode()
-	d := stepBase + stepPrefill*time.Duration(prefilled)/chunk + stepSequence*time.Duration(n)
-	return time.Duration(float64(d) / e.speed)
+	duration := stepBaseTime + stepChunkTime*time.Duration(prefilled)/chunkTokens + stepSequenceTime*time.Duration(n)
+	return time.Duration(float64(duration) / e.speed)
 }
 
 func (e *Engine) admit() {
-	for len(e.queue) > 0 && len(e.running) < maxSequences {
+	for len(e.queue) > 0 && len(e.running) < maxRunning {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
 		if s.cancelled {
@@ -220,7 +223,8 @@
 	}
 }
 
-// lookUpPrefix deducts the cached part and books the rest.
+// lookUpPrefix sets how many prompt tokens are cached and how many are to be
+// computed, and adds the missing blocks to the cache.
 func (e *Engine) lookUpPrefix(s *stream) {
 	hit := 0
 	for hit < len(s.prompt) && e.cache.touch(s.prompt[hit]) {
@@ -230,7 +234,7 @@
 	s.toCompute = max(1, s.tokens-s.cached)
 	s.computed = s.toCompute
 	for _, k := range s.prompt[hit:] {
-		if e.opt.Group.held(k) {
+		if e.opt.Group.contains(k) {
 			s.repeated += prefix.BlockTokens
 		}
 		e.store(k)
@@ -252,84 +256,86 @@
 		return
 	}
 	e.events = append(e.events, cacheEvent{seq: e.eventSeq, key: k, evicted: evicted, at: time.Now()})
-	if len(e.events) > keptEvents {
-		e.events = e.events[len(e.events)-keptEvents:]
+	if len(e.events) > maxCacheEvents {
+		e.events = e.events[len(e.events)-maxCacheEvents:]
 	}
 }
 
-// prefill spends one chunk on the sequences in the order they came.
+// prefill computes up to one chunk of prompt tokens, in order of arrival, and returns
+// how many it computed.
 func (e *Engine) prefill() int {
-	left := chunk
+	budget := chunkTokens
 	for _, s := range e.running {
-		n := min(left, s.toCompute)
+		n := min(budget, s.toCompute)
 		s.toCompute -= n
-		left -= n
-		if left == 0 {
+		budget -= n
+		if budget == 0 {
 			break
 		}
 	}
-	return chunk - left
+	return chunkTokens - budget
 }
 
-// decode gives each prefilled sequence one token.
+// decode emits one token for each prefilled sequence and removes those that are
+// finished or cancelled.
 func (e *Engine) decode() {
-	kept := e.running[:0]
+	active := e.running[:0]
 	for _, s := range e.running {
 		switch {
 		case s.cancelled:
 			continue
 		case s.toCompute == 0:
 			s.emit()
-			if len(s.parts) >= s.out {
+			if len(s.parts) >= s.outputTokens {
 				e.finish(s)
 				continue
 			}
 		}
-		kept = append(kept, s)
+		active = append(active, s)
 	}
-	e.running = kept
+	e.running = active
 }
 
-// emit adds a part that tells whose it is and which, so that a mixed-up
-// answer shows.
+// emit adds a part whose text contains the end of the request id and the part's
+// number, so that tests detect mixed-up answers.
 func (s *stream) emit() {
 	text := fmt.Sprintf("%s.%d ", s.id[len(s.id)-8:], len(s.parts))
 	part := `{"choices":[{"index":0,"text":` + strconv.Quote(text) + `}]}`
 	s.parts = append(s.parts, part)
-	_, _ = s.sum.WriteString(part)
+	_, _ = s.partsSum.WriteString(part)
 	framed := "data: " + part + "\n\n"
-	_, _ = s.framed.WriteString(framed)
+	_, _ = s.framedSum.WriteString(framed)
 	s.bytes += len(framed)
-	s.wake()
+	s.notify()
 }
 
 func (e *Engine) finish(s *stream) {
 	s.done = true
-	s.wake()
+	s.notify()
 	e.opt.History.Add(history.Event{
 		Kind: history.Made, Source: e.opt.Name, Server: e.opt.Name, ID: s.id, Bytes: s.bytes,
-		Sum: strconv.FormatUint(s.framed.Sum64(), 16), Prompt: s.tokens, Computed: s.computed, Repeated: s.repeated,
+		Sum: strconv.FormatUint(s.framedSum.Sum64(), 16), Prompt: s.tokens, Computed: s.computed, Repeated: s.repeated,
 	})
 }
 
-// accept takes a request.
-func (e *Engine) accept(id, prompt string, out int) *stream {
+// accept queues a request and returns its stream.
+func (e *Engine) accept(id, prompt string, outputTokens int) *stream {
 	s := &stream{
-		id: id, prompt: prefix.Chain(prompt), tokens: max(1, prefix.Tokens(prompt)), out: max(1, out),
-		sum: xxhash.New(), framed: xxhash.New(), changed: make(chan struct{}),
+		id: id, prompt: prefix.Chain(prompt), tokens: max(1, prefix.Tokens(prompt)), outputTokens: max(1, outputTokens),
+		partsSum: xxhash.New(), framedSum: xxhash.New(), changed: make(chan struct{}),
 	}
 	e.opt.History.Add(history.Event{Kind: history.Started, Source: e.opt.Name, Server: e.opt.Name, ID: id})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streams[id] = s
-	e.order = append(e.order, id)
-	if len(e.order) > keptStreams {
-		delete(e.streams, e.order[0])
-		e.order = e.order[1:]
+	e.streamOrder = append(e.streamOrder, id)
+	if len(e.streamOrder) > maxStreams {
+		delete(e.streams, e.streamOrder[0])
+		e.streamOrder = e.streamOrder[1:]
 	}
 	e.queue = append(e.queue, s)
 	select {
-	case e.work <- struct{}{}:
+	case e.wakeUp <- struct{}{}:
 	default:
 	}
 	return s
@@ -346,11 +352,11 @@
 	defer e.mu.Unlock()
 	if s := e.streams[id]; s != nil && !s.done {
 		s.cancelled = true
-		s.wake()
+		s.notify()
 	}
 }
 
-// load returns the report as of LoadLag ago.
+// load returns the load as it was LoadLag ago.
 func (e *Engine) load() (running int, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -363,7 +369,8 @@
 	return 0, e.opt.LoadLag
 }
 
-// cacheEvents returns the events after a sequence number that are old enough.
+// cacheEvents returns the events after a sequence number that are at least CacheLag
+// old.
 func (e *Engine) cacheEvents(after uint64) []cacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -377,7 +384,8 @@
 	return out
 }
 
-// applyOrder takes an order; a checking engine refuses an old fencing number.
+// applyOrder applies an order. With ChecksFencing it refuses orders whose fencing
+// number is older than the newest one seen.
 func (e *Engine) applyOrder(fence uint64, state string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -390,7 +398,7 @@
 	return true
 }
 
-// textOf is what a whole answer to id of n parts reads.
+// textOf returns the text of a whole answer of n parts to the request with this id.
 func textOf(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -67,13 +67,13 @@
 	e.follow(w, r, s, from)
 }
 
-// follow writes the stream from a part on. The engine goes on when the
-// reader leaves; only a cancel stops it.
+// follow writes the stream, starting at the given part. The engine continues when
+// the client disconnects; only cancel and Restart stop it.
 func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	control := http.NewResponseController(w)
-	_ = control.Flush()
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
 	for {
 		e.mu.Lock()
 		parts := s.parts[min(from, len(s.parts)):]
@@ -90,7 +90,7 @@
 		if cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		_ = control.Flush()
+		_ = controller.Flush()
 		select {
 		case <-changed:
 		case <-r.Context().Done():
@@ -112,7 +112,7 @@
 func (e *Engine) writeEnd(w http.ResponseWriter, s *stream) {
 	e.mu.Lock()
 	end := endBody{
-		Parts: len(s.parts), Checksum: strconv.FormatUint(s.sum.Sum64(), 16),
+		Parts: len(s.parts), Checksum: strconv.FormatUint(s.partsSum.Sum64(), 16),
 		PromptTokens: s.computed, CachedTokens: s.cached, OutputTokens: len(s.parts),
 	}
 	e.mu.Unlock()
@@ -203,5 +203,5 @@
 	reply(w, struct{}{})
 }
 
-// WholeText is the text of the whole answer that an engine makes for an id.
+// WholeText returns the text of the whole answer that an engine makes for an id.
 func WholeText(id string, parts int) string { return strings.Clone(textOf(id, parts)) }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -18,22 +18,22 @@
 	"github.com/gentianflow/gentianflow/internal/prefix"
 )
 
-// Work is one kind of work of a load.
+// Work describes the requests of one kind in a load.
 type Work struct {
 	Service  string
 	Kind     string
 	Tier     int
-	Rate     float64 // requests a second
-	Prefixes int
-	Prefix   int // tokens
-	Own      int // mean tokens, 0.3 to 1.7 of it
-	Output   int // mean tokens, 0.3 to 1.7 of it
+	Rate     float64 // requests per second
+	Prefixes int     // number of shared prompt prefixes
+	Prefix   int     // length of a shared prefix in tokens
+	Own      int     // mean length of the unshared part in tokens; drawn from 0.3 to 1.7 times the mean
+	Output   int     // mean output in tokens; drawn from 0.3 to 1.7 times the mean
 	Deadline time.Duration
-	Path     string // of a plain service
-	NonIdem  bool
+	Path     string // for requests to a plain service
+	NonIdem  bool   // sent with an idempotency key
 }
 
-// TierResult sums up one tier of a load.
+// TierResult counts the outcomes of one tier of a load.
 type TierResult struct {
 	Tier    int
 	Offered int
@@ -43,8 +43,8 @@
 	Unknown int
 }
 
-// Load sends kinds of work at their rates through clients, one for each
-// service. mu guards results.
+// Load sends each kind of request at its rate, through one client for each service.
+// mu guards results.
 type Load struct {
 	Clients map[string]*caller.Client
 	Works   []Work
@@ -54,96 +54,96 @@
 	results map[int]*TierResult
 }
 
-// vary draws from 0.3 to 1.7 of a mean.
-func vary(r *rand.Rand, mean int) int {
-	return max(1, int(float64(mean)*(0.3+1.4*r.Float64())))
+// vary draws a number from 0.3 to 1.7 times the mean.
+func vary(rng *rand.Rand, mean int) int {
+	return max(1, int(float64(mean)*(0.3+1.4*rng.Float64())))
 }
 
-// Run sends for a time and waits until every request has its final word.
+// Run sends requests for the duration d and waits until all of them have ended.
 func (l *Load) Run(ctx context.Context, d time.Duration) {
 	l.results = map[int]*TierResult{}
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, w := range l.Works {
-		r := rand.New(rand.NewPCG(l.Seed, uint64(i)))
-		all.Go(func() { l.send(ctx, w, r, d, &all) })
+		rng := rand.New(rand.NewPCG(l.Seed, uint64(i)))
+		requests.Go(func() { l.send(ctx, w, rng, d, &requests) })
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-func (l *Load) send(ctx context.Context, w Work, r *rand.Rand, d time.Duration, all *sync.WaitGroup) {
+func (l *Load) send(ctx context.Context, w Work, rng *rand.Rand, d time.Duration, requests *sync.WaitGroup) {
 	end := time.Now().Add(d)
 	next := time.Now()
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		next = next.Add(time.Duration(r.ExpFloat64() / w.Rate * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / w.Rate * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(next)):
 		case <-ctx.Done():
 			return
 		}
-		req := w.request(r, n)
-		all.Go(func() { l.one(ctx, w, req) })
+		req := w.request(rng, n)
+		requests.Go(func() { l.sendOne(ctx, w, req) })
 	}
 }
 
-// Prompt makes a prompt of a shared prefix and an own part.
-func (w Work) Prompt(shared, own int, salt string) string {
+// Prompt makes a prompt of a shared prefix and an unshared part of own tokens.
+func (w Work) Prompt(prefixIndex, own int, salt string) string {
 	var b strings.Builder
-	fill(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, shared), w.Prefix*prefix.BytesPerToken)
-	fill(&b, salt+" ", (w.Prefix+own)*prefix.BytesPerToken)
+	padTo(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, prefixIndex), w.Prefix*prefix.BytesPerToken)
+	padTo(&b, salt+" ", (w.Prefix+own)*prefix.BytesPerToken)
 	return b.String()
 }
 
-func fill(b *strings.Builder, text string, to int) {
-	for b.Len()+len(text) <= to {
+func padTo(b *strings.Builder, text string, size int) {
+	for b.Len()+len(text) <= size {
 		b.WriteString(text)
 	}
-	for b.Len() < to {
+	for b.Len() < size {
 		b.WriteByte('.')
 	}
 }
 
-func (w Work) request(r *rand.Rand, n int) *caller.Request {
+func (w Work) request(rng *rand.Rand, n int) *caller.Request {
 	if w.Path != "" {
 		req := &caller.Request{Kind: w.Kind, Path: w.Path, Body: []byte(fmt.Sprintf(`{"n":%d}`, n)), ContentType: "application/json"}
 		if w.NonIdem {
-			req.Key = fmt.Sprintf("%s-%s-%d-%d", w.Service, w.Kind, n, r.Uint64())
+			req.Key = fmt.Sprintf("%s-%s-%d-%d", w.Service, w.Kind, n, rng.Uint64())
 		}
 		return req
 	}
-	u := r.Float64()
-	shared := int(float64(w.Prefixes) * u * u)
+	u := rng.Float64()
+	prefixIndex := int(float64(w.Prefixes) * u * u)
 	return &caller.Request{
-		Kind: w.Kind, Prompt: w.Prompt(shared, vary(r, w.Own), strconv.FormatUint(r.Uint64(), 36)),
-		MaxTokens: vary(r, w.Output), PrefixTokens: w.Prefix, Stream: true,
+		Kind: w.Kind, Prompt: w.Prompt(prefixIndex, vary(rng, w.Own), strconv.FormatUint(rng.Uint64(), 36)),
+		MaxTokens: vary(rng, w.Output), PrefixTokens: w.Prefix, Stream: true,
 	}
 }
 
-func (l *Load) one(ctx context.Context, w Work, req *caller.Request) {
+func (l *Load) sendOne(ctx context.Context, w Work, req *caller.Request) {
 	begin := time.Now()
 	_, err := l.Clients[w.Service].Do(ctx, req)
 	took := time.Since(begin)
-	var f *caller.Failure
+	var callFailure *caller.Failure
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.results[w.Tier]
-	if t == nil {
-		t = &TierResult{Tier: w.Tier}
-		l.results[w.Tier] = t
+	result := l.results[w.Tier]
+	if result == nil {
+		result = &TierResult{Tier: w.Tier}
+		l.results[w.Tier] = result
 	}
-	t.Offered++
+	result.Offered++
 	switch {
 	case err == nil && took <= w.Deadline:
-		t.InTime++
+		result.InTime++
 	case err == nil:
-		t.Late++
-	case errors.As(err, &f) && f.NotRun():
-		t.Shed++
+		result.Late++
+	case errors.As(err, &callFailure) && callFailure.NotRun():
+		result.Shed++
 	default:
-		t.Unknown++
+		result.Unknown++
 	}
 }
 
-// Results returns the sums by tier, most urgent first.
+// Results returns the counts by tier, most urgent first.
 func (l *Load) Results() []TierResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,7 +156,7 @@
 	return out
 }
 
-// Recorder writes what a Client asks and is told into a history.
+// Recorder writes the requests of a Client and their outcomes to a history.
 type Recorder struct {
 	Log     *history.Log
 	Source  string
@@ -164,8 +164,8 @@
 	Tiers   map[string]int // by request kind
 }
 
-// Asked implements caller.Observer. A keyed call has no id before its first
-// answer; its words count by Told alone.
+// Asked implements caller.Observer. A call with an idempotency key has no id before
+// its first answer, so only Told records its outcome under its id.
 func (r *Recorder) Asked(id string, attempt int, q *caller.Request) {
 	r.Log.Add(history.Event{
 		Kind: history.Asked, Source: r.Source, Service: r.Service, ID: id, Key: q.Key, Tier: r.Tiers[q.Kind], Attempt: attempt,
--- a/internal/standin/mix.go
+++ b/internal/standin/mix.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The rate of the plain calls beside the model requests.
+// plainRate is the rate of all calls to the plain service, per second.
 const plainRate = 20
 
-// TsumugiMix is the mix of the Kyushu Fleet at a rate of model requests a
-// second.
+// TsumugiMix returns the request mix of the Kyushu Fleet. rate is the number of model
+// requests per second.
 func TsumugiMix(rate float64) []Work {
 	return []Work{
 		{Service: "loop-app", Kind: "swap-match", Tier: 1, Rate: plainRate / 2, Deadline: 500 * time.Millisecond, Path: "swap-match"},
@@ -17,7 +17,8 @@
 	}
 }
 
-// QasidaMix is the mix of the Manuscript Routing Fleet.
+// QasidaMix returns the request mix of the Manuscript Routing Fleet. rate is the number
+// of model requests per second.
 func QasidaMix(rate float64) []Work {
 	return []Work{
 		{Service: "fihrist-app", Kind: "catalogue-lookup", Tier: 1, Rate: plainRate / 2, Deadline: 500 * time.Millisecond, Path: "catalogue"},
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform's services, a model engine and a plain service. They are
-// scaffolding for the demo and the tests.
+// Package standin has small stand-ins for the system's environment: the platform's
+// services, a model engine and a plain service. Only the demo, the benchmarks and
+// the tests use them.
 package standin
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/gentianflow/gentianflow/internal/platform"
 )
 
-// PlatformFaults are the switches of the platform stand-in.
+// PlatformFaults are the faults that the platform stand-in simulates.
 type PlatformFaults struct {
 	TableDown   bool `json:"table_down"`
 	ObjectsDown bool `json:"objects_down"`
 	HostsDown   bool `json:"hosts_down"`
-	SlowMS      int  `json:"slow_ms"`      // added to each call
-	LoseAnswers int  `json:"lose_answers"` // next writes take effect and answer nothing
+	SlowMS      int  `json:"slow_ms"`      // delay added to each call
+	LoseAnswers int  `json:"lose_answers"` // number of apply calls that will take effect without an answer
 }
 
-// The rates of the table service.
+// The rate limits of reads and writes.
 const (
 	writesPerSecond = 400
 	readsPerSecond  = 2000
@@ -37,16 +37,16 @@
 	reads  *rate.Limiter
 	lag    time.Duration
 
-	mu      sync.Mutex
-	rows    map[string]platform.Row
-	objects map[string][]byte
-	hosts   []platform.Host
-	listed  []platform.Host // hosts as the lagging list shows them
-	shownAt time.Time
-	faults  PlatformFaults
+	mu        sync.Mutex
+	rows      map[string]platform.Row
+	objects   map[string][]byte
+	hosts     []platform.Host
+	listed    []platform.Host // the host list as callers see it, delayed by lag
+	visibleAt time.Time
+	faults    PlatformFaults
 }
 
-// NewPlatform makes a platform whose host list lags.
+// NewPlatform makes a platform whose host list shows changes after hostLag.
 func NewPlatform(hostLag time.Duration) *Platform {
 	return &Platform{
 		writes: rate.NewLimiter(writesPerSecond, writesPerSecond),
@@ -55,7 +55,7 @@
 	}
 }
 
-// SetFaults sets the switches.
+// SetFaults replaces the simulated faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	p.faults = f
@@ -65,18 +65,20 @@
 // SetHosts changes the host list; callers see it after the lag.
 func (p *Platform) SetHosts(hosts []platform.Host) {
 	p.mu.Lock()
-	p.showDue()
-	p.hosts, p.shownAt = hosts, time.Now().Add(p.lag)
+	p.updateListed()
+	p.hosts, p.visibleAt = hosts, time.Now().Add(p.lag)
 	p.mu.Unlock()
 }
 
-func (p *Platform) showDue() {
-	if time.Now().After(p.shownAt) {
+// updateListed copies the host list to the visible one once its delay is over. The
+// caller holds mu.
+func (p *Platform) updateListed() {
+	if time.Now().After(p.visibleAt) {
 		p.listed = p.hosts
 	}
 }
 
-// Row returns a row directly, for checks.
+// Row returns a row without simulated faults or rate limits, for checks in tests.
 func (p *Platform) Row(key string) platform.Row {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,8 +98,9 @@
 	return mux
 }
 
-// pass applies the slow and down switches and the rate.
-func (p *Platform) pass(w http.ResponseWriter, r *http.Request, l *rate.Limiter, down func(PlatformFaults) bool) bool {
+// admit applies the simulated delay and outage and the rate limit. It returns false
+// if the call must not proceed.
+func (p *Platform) admit(w http.ResponseWriter, r *http.Request, l *rate.Limiter, down func(PlatformFaults) bool) bool {
 	p.mu.Lock()
 	f := p.faults
 	p.mu.Unlock()
@@ -123,7 +126,7 @@
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, r, p.reads, tableDown) {
+	if !p.admit(w, r, p.reads, tableDown) {
 		return
 	}
 	reply(w, p.Row(r.URL.Query().Get("key")))
@@ -143,23 +146,23 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, r, p.writes, tableDown) {
+	if !p.admit(w, r, p.writes, tableDown) {
 		return
 	}
-	var ans applyAnswer
+	var answer applyAnswer
 	p.mu.Lock()
 	for _, wr := range body.Writes {
-		ans.Results = append(ans.Results, p.write(wr))
+		answer.Results = append(answer.Results, p.write(wr))
 	}
-	lose := p.faults.LoseAnswers > 0
-	if lose {
+	loseAnswer := p.faults.LoseAnswers > 0
+	if loseAnswer {
 		p.faults.LoseAnswers--
 	}
 	p.mu.Unlock()
-	if lose {
-		panic(http.ErrAbortHandler) // the effect stays, the answer is gone
+	if loseAnswer {
+		panic(http.ErrAbortHandler) // the writes took effect, the answer is lost
 	}
-	reply(w, ans)
+	reply(w, answer)
 }
 
 // write applies one conditional write. The caller holds mu.
@@ -187,7 +190,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !p.pass(w, r, p.writes, objectsDown) {
+	if !p.admit(w, r, p.writes, objectsDown) {
 		return
 	}
 	p.mu.Lock()
@@ -197,7 +200,7 @@
 }
 
 func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, r, p.reads, objectsDown) {
+	if !p.admit(w, r, p.reads, objectsDown) {
 		return
 	}
 	p.mu.Lock()
@@ -215,11 +218,11 @@
 }
 
 func (p *Platform) getHosts(w http.ResponseWriter, r *http.Request) {
-	if !p.pass(w, r, p.reads, hostsDown) {
+	if !p.admit(w, r, p.reads, hostsDown) {
 		return
 	}
 	p.mu.Lock()
-	p.showDue()
+	p.updateListed()
 	hosts := p.listed
 	p.mu.Unlock()
 	reply(w, hostsBody{Hosts: hosts})
@@ -245,7 +248,7 @@
 	reply(w, struct{}{})
 }
 
-// Serve runs a handler until ctx ends.
+// Serve serves a handler on the address until ctx ends.
 func Serve(ctx context.Context, address string, h http.Handler) error {
 	s := &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,8 +14,8 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Service is a plain application service: a few milliseconds of work for a
-// call, some of which must not run twice.
+// Service is a plain application service. Each call takes the duration Work. Some
+// calls are not idempotent: they must not run twice.
 type Service struct {
 	Name    string
 	Work    time.Duration
@@ -27,8 +27,8 @@
 }
 
 // NewService makes a service.
-func NewService(name string, work time.Duration, h *history.Log) *Service {
-	return &Service{Name: name, Work: work, History: h, incarnation: ident.NewIncarnation().String()}
+func NewService(name string, work time.Duration, log *history.Log) *Service {
+	return &Service{Name: name, Work: work, History: log, incarnation: ident.NewIncarnation().String()}
 }
 
 type callAnswer struct {
@@ -58,8 +58,8 @@
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	time.Sleep(s.Work)
-	ans := callAnswer{RequestID: id, Server: s.Name, Echo: strconv.FormatUint(xxhash.Sum64(body), 16), Number: s.done.Add(1)}
-	text, err := json.Marshal(ans)
+	answer := callAnswer{RequestID: id, Server: s.Name, Echo: strconv.FormatUint(xxhash.Sum64(body), 16), Number: s.done.Add(1)}
+	text, err := json.Marshal(answer)
 	if err != nil {
 		return
 	}
