--- a/Makefile
+++ b/Makefile
@@ -3,12 +3,12 @@
 build:
 	go build -o bin/ ./cmd/...
 
-# The system on the stand-in of the platform: starts everything on loopback,
-# sends a mixed load, stops.
+# Runs gentianhost with the platform stand-in on loopback under a mixed load, then
+# stops both.
 demo:
 	bash bench/platform-demo.sh
 
-# The same through the product's own interface (gentiand).
+# The same with gentiand, which serves the product's own API.
 demo-own:
 	bash bench/demo.sh
 
@@ -23,6 +23,6 @@
 	go vet ./...
 	staticcheck ./...
 
-# Needs protoc and protoc-gen-go; the result is committed.
+# Requires protoc and protoc-gen-go; the generated code is committed.
 proto:
 	protoc --go_out=. --go_opt=module=github.com/gentianflow/gentianflow internal/wire/control.proto
--- a/bench/capacity/main.go
+++ b/bench/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity works out what a node spends on control at a given size,
-// from measured points: it fits a line to each series of points.csv, prints
-// slope, intercept and the largest error, and projects.
+// Command capacity projects what a node spends on the control plane at a given fleet
+// size. It fits a line to each series of measured points in points.csv and prints
+// slope, intercept, largest error and the projections.
 package main
 
 import (
@@ -22,14 +22,14 @@
 
 func main() {
 	cmd := &cli.Command{
-		Name: "capacity", Usage: "project the cost of control from measured points",
+		Name: "capacity", Usage: "project the cost of the control plane from measured points",
 		Flags: []cli.Flag{
 			&cli.FloatFlag{Name: "nodes", Value: 390},
 			&cli.FloatFlag{Name: "servers", Value: 630},
-			&cli.FloatFlag{Name: "requests", Value: 9900, Usage: "a second, at peak"},
+			&cli.FloatFlag{Name: "requests", Value: 9900, Usage: "requests per second at peak"},
 			&cli.FloatFlag{Name: "models", Value: 14},
 			&cli.FloatFlag{Name: "regions", Value: 3},
-			&cli.FloatFlag{Name: "horizon", Value: 120, Usage: "seconds that ids are remembered"},
+			&cli.FloatFlag{Name: "horizon", Value: 120, Usage: "seconds for which request ids are kept"},
 			&cli.FloatFlag{Name: "claimed", Value: 0.01, Usage: "share of requests that need a claim row"},
 		},
 		Action: project,
@@ -40,18 +40,18 @@
 	}
 }
 
-// line is a fitted straight line.
+// line is a straight line fitted to measured points.
 type line struct {
-	slope, base, worst float64 // worst: largest error over the measured value
-	n                  int
+	slope, intercept, maxRelativeError float64 // maxRelativeError is the largest error relative to the measured value
+	n                                  int
 }
 
-func (l line) at(x float64) float64 { return l.base + l.slope*x }
+func (l line) at(x float64) float64 { return l.intercept + l.slope*x }
 
-// between interpolates in measured points; outside of them it extends the
-// nearest pair. Processor time for each request falls with the rate, since one
-// wake-up then serves several, so a line through all points misleads.
-func between(p [][2]float64, x float64) float64 {
+// interpolate interpolates linearly between measured points and extrapolates from the
+// nearest pair outside of them. A line through all points would mislead: processor
+// time per request falls with the rate, since one wake-up then serves several.
+func interpolate(p [][2]float64, x float64) float64 {
 	i := 1
 	for i < len(p)-1 && p[i][0] < x {
 		i++
@@ -60,8 +60,8 @@
 	return a[1] + (b[1]-a[1])*(x-a[0])/(b[0]-a[0])
 }
 
-// read groups the points by series.
-func read() (map[string][][2]float64, error) {
+// readPoints returns the measured points by series.
+func readPoints() (map[string][][2]float64, error) {
 	rows, err := csv.NewReader(strings.NewReader(points)).ReadAll()
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return out, nil
 }
 
-// fit is the least squares line through the points.
+// fit returns the least squares line through the points.
 func fit(p [][2]float64) line {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(p))
@@ -88,15 +88,15 @@
 	}
 	l := line{n: len(p)}
 	l.slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	l.base = (sy - l.slope*sx) / n
+	l.intercept = (sy - l.slope*sx) / n
 	for _, v := range p {
-		l.worst = max(l.worst, math.Abs(l.at(v[0])-v[1])/math.Abs(v[1]))
+		l.maxRelativeError = max(l.maxRelativeError, math.Abs(l.at(v[0])-v[1])/math.Abs(v[1]))
 	}
 	return l
 }
 
 func project(_ context.Context, c *cli.Command) error {
-	series, err := read()
+	series, err := readPoints()
 	if err != nil {
 		return err
 	}
@@ -110,23 +110,24 @@
 	for _, name := range names {
 		l := fit(series[name])
 		lines[name] = l
-		fmt.Printf("%-30s %6d %10.4g  %10.4g  %10.1f%%\n", name, l.n, l.slope, l.base, l.worst*100)
+		fmt.Printf("%-30s %6d %10.4g  %10.4g  %10.1f%%\n", name, l.n, l.slope, l.intercept, l.maxRelativeError*100)
 	}
 	printNode(c, lines, series["home_cpu_percent_by_rate"])
 	return nil
 }
 
-// The limits for control of one node.
+// The resource limits of one node for the control plane.
 const (
-	limitCPU   = 1.5 // percent of a core
-	limitMB    = 32.0
-	limitBytes = 26000.0
-	// hostsPerCell is the fan-in of a home (rules.lookup.hosts_per_service).
-	hostsPerCell = 9.0
-	ledgerBytes  = 200.0 // an id in a home's ledger: map entry, mark, pointer
-	writesLimit  = 300.0 // conditional writes a second that the table takes
-	readsLimit   = 2000.0
-	leaseRenewal = 1.0 // seconds between two renewals, for cells with orders
+	maxCPUPercent         = 1.5 // percent of a core
+	maxMemoryMB           = 32.0
+	maxSentBytesPerSecond = 26000.0
+	// hostsPerCell is the number of entry hosts that use one home, the host that runs
+	// the scheduler (rules.lookup.hosts_per_service).
+	hostsPerCell            = 9.0
+	ledgerBytesPerID        = 200.0 // map entry, mark and pointer for a request id in a home's ledger
+	maxTableWritesPerSecond = 300.0 // conditional writes per second that the table accepts
+	maxTableReadsPerSecond  = 2000.0
+	leaseRenewalSeconds     = 1.0 // seconds between lease renewals, for cells with orders
 )
 
 func printNode(c *cli.Command, l map[string]line, homeCPU [][2]float64) {
@@ -135,29 +136,29 @@
 	perNode := c.Float("requests") / c.Float("nodes")
 	nodes := c.Float("nodes")
 	fmt.Printf("\n%.0f cells, %.0f requests/s and %.0f servers a cell, %.0f requests/s a node\n", cells, perCell, c.Float("servers")/cells, perNode)
-	row := func(what string, value, limit float64, unit string) {
-		mark := "within"
+	row := func(label string, value, limit float64, unit string) {
+		verdict := "within"
 		if value > limit {
-			mark = "OVER"
+			verdict = "OVER"
 		}
-		fmt.Printf("%-58s %9.1f %-6s of %8.1f  %s\n", what, value, unit, limit, mark)
+		fmt.Printf("%-58s %9.1f %-6s of %8.1f  %s\n", label, value, unit, limit, verdict)
 	}
 	idleCPU := l["idle_cpu_percent_by_hosts"].at(hostsPerCell)
 	memberBytes := l["idle_sent_bytes_by_hosts"].at(nodes)
 	homeBytes := l["home_sent_bytes_by_rate"].slope * perCell
-	row("member: processor, idle host of a cell of 9", idleCPU, limitCPU, "%")
-	row("member: bytes sent, line extended to all nodes", memberBytes, limitBytes, "B/s")
-	row("home and entry in one process: processor", idleCPU+between(homeCPU, perCell), limitCPU, "%")
-	row("home and entry in one process: bytes sent", l["idle_sent_bytes_by_hosts"].at(hostsPerCell)+homeBytes, limitBytes, "B/s")
-	row("memory of a process, line extended to all nodes", l["idle_memory_mb_by_hosts"].at(nodes), limitMB, "MB")
-	row("home: ledger of a horizon", perCell*c.Float("horizon")*ledgerBytes/1e6, limitMB, "MB")
-	row("table: reads of the version row", nodes/2, readsLimit, "1/s")
-	leases := cells / leaseRenewal
-	row("table: leases and claims", leases+c.Float("requests")*c.Float("claimed"), writesLimit, "1/s")
-	fmt.Printf("claims run out at a share of %.3f of all requests\n", (writesLimit-leases)/c.Float("requests"))
-	most := perCell
-	for most > 1 && idleCPU+between(homeCPU, most) > limitCPU {
-		most--
+	row("member: processor, idle host of a cell of 9", idleCPU, maxCPUPercent, "%")
+	row("member: bytes sent, line extended to all nodes", memberBytes, maxSentBytesPerSecond, "B/s")
+	row("home and entry in one process: processor", idleCPU+interpolate(homeCPU, perCell), maxCPUPercent, "%")
+	row("home and entry in one process: bytes sent", l["idle_sent_bytes_by_hosts"].at(hostsPerCell)+homeBytes, maxSentBytesPerSecond, "B/s")
+	row("memory of a process, line extended to all nodes", l["idle_memory_mb_by_hosts"].at(nodes), maxMemoryMB, "MB")
+	row("home: ledger of a horizon", perCell*c.Float("horizon")*ledgerBytesPerID/1e6, maxMemoryMB, "MB")
+	row("table: reads of the version row", nodes/2, maxTableReadsPerSecond, "1/s")
+	leases := cells / leaseRenewalSeconds
+	row("table: leases and claims", leases+c.Float("requests")*c.Float("claimed"), maxTableWritesPerSecond, "1/s")
+	fmt.Printf("claims run out at a share of %.3f of all requests\n", (maxTableWritesPerSecond-leases)/c.Float("requests"))
+	maxRate := perCell
+	for maxRate > 1 && idleCPU+interpolate(homeCPU, maxRate) > maxCPUPercent {
+		maxRate--
 	}
-	fmt.Printf("a home stays within its processor time up to %.0f requests/s\n", most)
+	fmt.Printf("a home stays within its processor time up to %.0f requests/s\n", maxRate)
 }
--- a/bench/compare.sh
+++ b/bench/compare.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Compares two builds on the same work: starts the stand-in of the platform and 6
-# entry hosts of each revision on loopback, sends the same drawn load, prints both
-# reports beside each other and draws worth by kind over time.
+# Compares two builds under the same load: for each revision, starts the platform
+# stand-in and 6 entry hosts on loopback and sends the same generated requests. Prints
+# both reports side by side and plots the worth of answers over time by request kind.
 #
 #   bench/compare.sh REVISION REVISION      a revision, or "." for the working tree
 #   LOAD=traces/loads/burst.yaml SEED=1 PLOT=worth.svg
--- a/bench/demo.sh
+++ b/bench/demo.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The demo: builds, starts the platform, 4 engines of unlike speed, 1 plain
-# service and 6 entry hosts in 3 availability zones, sends a mixed load for
-# about 10 s, prints what came of it and stops what it started.
+# The demo of gentiand: builds the commands, starts the platform stand-in, 4 engines
+# of different speeds, 1 plain service and 6 entry hosts in 3 availability zones,
+# sends a mixed load for about 10 s, prints the results and stops what it started.
 #
 #   DEMO_KILL=1   kills one entry host in the middle of the load
-#   DEMO_RATE=20  model requests a second
+#   DEMO_RATE=20  model requests per second
 #   DEMO_FOR=10s  length of the load
 set -u
 cd "$(dirname "$0")/.." || exit 1
@@ -42,7 +42,7 @@
 done
 
 ctl() { bin/gentianctl --admin 127.3.3.1:7102 --admin 127.3.3.2:7102 "$@"; }
-for _ in $(seq 100); do # until all six hosts know each other
+for _ in $(seq 100); do # wait until all six hosts are members
   [ "$(ctl members 2>/dev/null | grep -c ' alive ')" = 6 ] && break
   sleep 0.1
 done
--- a/bench/loopback/main.go
+++ b/bench/loopback/main.go
@@ -1,6 +1,6 @@
-// Command loopback measures entry hosts as real processes on loopback:
-// latency added over calling the server directly, and what hosts spend on
-// control when idle and under load. It bounds and stops its own load.
+// Command loopback measures entry hosts as real processes on loopback: the latency
+// that they add to calling the server directly, and the resources they spend on
+// the control plane when idle and under load. It limits and stops its own load.
 package main
 
 import (
@@ -30,22 +30,22 @@
 )
 
 const (
-	secret    = "bench-secret"
-	service   = "app"
-	startWait = 10 * time.Second
-	ticksHz   = 100 // of /proc/PID/stat
-	pageSize  = 4096
+	secret              = "bench-secret"
+	service             = "app"
+	startTimeout        = 10 * time.Second
+	clockTicksPerSecond = 100 // for CPU times in /proc/PID/stat
+	pageSize            = 4096
 )
 
 func main() {
 	cmd := &cli.Command{
-		Name: "loopback", Usage: "measure entry hosts on loopback",
+		Name: "loopback", Usage: "measure latency and resource usage of entry hosts on loopback",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "gentiand", Value: "bin/gentiand"},
 			&cli.IntFlag{Name: "hosts", Value: 6},
-			&cli.FloatFlag{Name: "rate", Usage: "requests a second; 0 measures idle hosts"},
+			&cli.FloatFlag{Name: "rate", Usage: "requests per second; 0 measures idle hosts"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second},
-			&cli.IntFlag{Name: "waiting", Usage: "requests to leave waiting while memory is read"},
+			&cli.IntFlag{Name: "waiting", Usage: "number of requests to keep waiting while memory is measured"},
 		},
 		Action: measure,
 	}
@@ -61,7 +61,7 @@
 	caller, control, admin string
 }
 
-var started = regexp.MustCompile(`callers (\S+) control (\S+) admin (\S+)"`)
+var startedPattern = regexp.MustCompile(`callers (\S+) control (\S+) admin (\S+)"`)
 
 func start(binary, name, platform string, seeds []string) (*host, error) {
 	args := []string{
@@ -77,8 +77,8 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(startWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if m := started.FindStringSubmatch(log.String()); m != nil {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if m := startedPattern.FindStringSubmatch(log.String()); m != nil {
 			h.caller, h.control, h.admin = m[1], m[2], m[3]
 			return h, nil
 		}
@@ -86,7 +86,7 @@
 	return nil, fmt.Errorf("%s did not start: %s", name, log.String())
 }
 
-// lockedBuffer keeps the log of a process. mu guards b.
+// lockedBuffer collects the log of a process. mu guards b.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -116,7 +116,7 @@
 func measure(ctx context.Context, c *cli.Command) error {
 	work := time.Duration(0)
 	if c.Int("waiting") > 0 {
-		work = time.Hour // nothing finishes, so requests wait
+		work = time.Hour // no request finishes, so the others wait
 	}
 	backend, err := serve(standin.NewService("app-1", work, nil).Handler())
 	if err != nil {
@@ -145,48 +145,48 @@
 	if err := configure(hosts, backend, c.Int("waiting")); err != nil {
 		return err
 	}
-	time.Sleep(5 * time.Second) // let membership settle before the books are opened
+	time.Sleep(5 * time.Second) // let membership settle before measuring
 	switch {
 	case c.Int("waiting") > 0:
 		return measureWaiting(ctx, hosts, c.Int("waiting"))
 	case c.Float("rate") > 0:
-		direct := drive(ctx, []string{backend}, "/call", c.Float("rate"), c.Duration("for"))
-		before := readAll(hosts)
+		direct := sendLoad(ctx, []string{backend}, "/call", c.Float("rate"), c.Duration("for"))
+		before := readAllUsage(hosts)
 		var callers []string
 		for _, h := range hosts {
 			callers = append(callers, h.caller)
 		}
-		through := drive(ctx, callers, "/v1/services/"+service+"/call/call", c.Float("rate"), c.Duration("for"))
-		report(hosts, before, readAll(hosts), c.Duration("for"))
+		through := sendLoad(ctx, callers, "/v1/services/"+service+"/call/call", c.Float("rate"), c.Duration("for"))
+		report(hosts, before, readAllUsage(hosts), c.Duration("for"))
 		fmt.Printf("rate %.0f/s: direct p50 %.3f p99 %.3f ms (%d, %d failed); through p50 %.3f p99 %.3f ms (%d, %d failed); added p50 %.3f p99 %.3f ms\n",
-			c.Float("rate"), direct.ms(50), direct.ms(99), direct.n, direct.failed, through.ms(50), through.ms(99), through.n, through.failed,
+			c.Float("rate"), direct.ms(50), direct.ms(99), direct.count, direct.failed, through.ms(50), through.ms(99), through.count, through.failed,
 			through.ms(50)-direct.ms(50), through.ms(99)-direct.ms(99))
 	default:
-		before := readAll(hosts)
+		before := readAllUsage(hosts)
 		time.Sleep(c.Duration("for"))
-		report(hosts, before, readAll(hosts), c.Duration("for"))
+		report(hosts, before, readAllUsage(hosts), c.Duration("for"))
 	}
 	return nil
 }
 
 func configure(hosts []*host, backend string, waiting int) error {
-	sum := sha256.Sum256([]byte(secret))
+	secretHash := sha256.Sum256([]byte(secret))
 	slots := 4096
 	if waiting > 0 {
 		slots = 1
 	}
-	d := config.Document{
+	document := config.Document{
 		Places: config.Places{Region: "r", AvailabilityZones: []string{"z1"}},
 		Services: []config.Service{{Name: service, Kind: config.PlainService, BackendServers: []config.BackendServer{
 			{Name: "app-1", Address: backend, AvailabilityZone: "z1", MaxSequences: slots},
 		}}},
-		ClientAccounts: []config.ClientAccount{{Name: "bench", SecretSHA256: hex.EncodeToString(sum[:]), Services: []string{service}}},
+		ClientAccounts: []config.ClientAccount{{Name: "bench", SecretSHA256: hex.EncodeToString(secretHash[:]), Services: []string{service}}},
 		Rules: config.Rules{
 			Tiers:        []config.Tier{{Number: 1, Name: "t", Deadline: config.Duration(5 * time.Minute)}},
 			RequestKinds: []config.RequestKind{{Name: "call", Service: service, Tier: 1}},
 		},
 	}
-	text, err := config.Encode(&d)
+	text, err := config.Encode(&document)
 	if err != nil {
 		return err
 	}
@@ -206,33 +206,34 @@
 	return nil
 }
 
-// latencies of one run. mu guards all fields.
+// latencies are the results of one run. mu guards all fields.
 type latencies struct {
-	mu     sync.Mutex
-	h      *hdrhistogram.Histogram
-	n      int
-	failed int
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
+	count     int
+	failed    int
 }
 
-func (l *latencies) ms(p float64) float64 { return float64(l.h.ValueAtQuantile(p)) / 1000 }
+func (l *latencies) ms(p float64) float64 { return float64(l.histogram.ValueAtQuantile(p)) / 1000 }
 
-// drive posts at a fixed rate, open loop, spread over the addresses.
-func drive(ctx context.Context, addresses []string, path string, rate float64, d time.Duration) *latencies {
-	l := &latencies{h: hdrhistogram.New(1, 60_000_000, 3)}
+// sendLoad sends requests to the addresses in turn, at a fixed rate that does not depend
+// on the answers (open loop).
+func sendLoad(ctx context.Context, addresses []string, path string, rate float64, d time.Duration) *latencies {
+	l := &latencies{histogram: hdrhistogram.New(1, 60_000_000, 3)}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: 10 * time.Second}
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	begin := time.Now()
 	for i := 0; time.Since(begin) < d && ctx.Err() == nil; i++ {
 		next := begin.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		address := addresses[i%len(addresses)]
-		all.Go(func() { l.one(client, "http://"+address+path) })
+		requests.Go(func() { l.post(client, "http://"+address+path) })
 	}
-	all.Wait()
+	requests.Wait()
 	return l
 }
 
-func (l *latencies) one(client *http.Client, url string) {
+func (l *latencies) post(client *http.Client, url string) {
 	begin := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(`{"n":1}`))
 	if err != nil {
@@ -247,44 +248,44 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.n++
+	l.count++
 	if !ok {
 		l.failed++
 		return
 	}
-	_ = l.h.RecordValue(time.Since(begin).Microseconds())
+	_ = l.histogram.RecordValue(time.Since(begin).Microseconds())
 }
 
-// books are what one process has spent so far.
-type books struct {
+// usage is what one process has used of each resource so far.
+type usage struct {
 	cpu      time.Duration
 	rss      int64
 	sent     int64
 	received int64
 }
 
-func readAll(hosts []*host) []books {
-	out := make([]books, len(hosts))
+func readAllUsage(hosts []*host) []usage {
+	out := make([]usage, len(hosts))
 	for i, h := range hosts {
-		out[i] = read(h)
+		out[i] = readUsage(h)
 	}
 	return out
 }
 
-func read(h *host) books {
-	var b books
+func readUsage(h *host) usage {
+	var u usage
 	pid := h.cmd.Process.Pid
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		f := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+2:]))
 		user, _ := strconv.ParseInt(f[11], 10, 64)
 		system, _ := strconv.ParseInt(f[12], 10, 64)
 		pages, _ := strconv.ParseInt(f[21], 10, 64)
-		b.cpu = time.Duration(user+system) * time.Second / ticksHz
-		b.rss = pages * pageSize
+		u.cpu = time.Duration(user+system) * time.Second / clockTicksPerSecond
+		u.rss = pages * pageSize
 	}
 	resp, err := http.Get("http://" + h.admin + "/metrics")
 	if err != nil {
-		return b
+		return u
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var m struct {
@@ -292,30 +293,30 @@
 		Received struct{ Value int64 } `json:"control.received_bytes"`
 	}
 	if json.NewDecoder(resp.Body).Decode(&m) == nil {
-		b.sent, b.received = m.Sent.Value, m.Received.Value
+		u.sent, u.received = m.Sent.Value, m.Received.Value
 	}
-	return b
+	return u
 }
 
-// report prints the mean and the most of all hosts.
-func report(hosts []*host, before, after []books, d time.Duration) {
-	var cpu, most, rss, sent, received, mostSent float64
+// report prints the mean and the maximum over all hosts.
+func report(hosts []*host, before, after []usage, d time.Duration) {
+	var cpu, maxCPU, rss, sent, received, maxSent float64
 	for i := range hosts {
 		c := (after[i].cpu - before[i].cpu).Seconds() / d.Seconds() * 100
 		s := float64(after[i].sent-before[i].sent) / d.Seconds()
-		cpu, most = cpu+c, max(most, c)
+		cpu, maxCPU = cpu+c, max(maxCPU, c)
 		rss += float64(after[i].rss)
-		sent, mostSent = sent+s, max(mostSent, s)
+		sent, maxSent = sent+s, max(maxSent, s)
 		received += float64(after[i].received-before[i].received) / d.Seconds()
 	}
 	n := float64(len(hosts))
 	fmt.Printf("%d hosts: processor %.2f%% of a core each (most %.2f%%), memory %.1f MB, control sent %.0f B/s (most %.0f), received %.0f B/s\n",
-		len(hosts), cpu/n, most, rss/n/1e6, sent/n, mostSent, received/n)
+		len(hosts), cpu/n, maxCPU, rss/n/1e6, sent/n, maxSent, received/n)
 }
 
-// measureWaiting leaves requests waiting and reads the memory of all hosts.
+// measureWaiting measures the memory of all hosts while n requests wait.
 func measureWaiting(ctx context.Context, hosts []*host, n int) error {
-	before := readAll(hosts)
+	before := readAllUsage(hosts)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: n}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -334,14 +335,14 @@
 		}()
 	}
 	time.Sleep(5 * time.Second)
-	after := readAll(hosts)
-	var grown int64
+	after := readAllUsage(hosts)
+	var growth int64
 	for i := range hosts {
-		grown += after[i].rss - before[i].rss
+		growth += after[i].rss - before[i].rss
 	}
 	fmt.Printf("%d waiting over %d hosts: memory +%.2f MB in all, %.1f KB for each (1 KB bodies, one connection each)\n",
-		n, len(hosts), float64(grown)/1e6, float64(grown)/float64(n)/1e3)
+		n, len(hosts), float64(growth)/1e6, float64(growth)/float64(n)/1e3)
 	time.Sleep(5 * time.Second)
-	report(hosts, after, readAll(hosts), 5*time.Second)
+	report(hosts, after, readAllUsage(hosts), 5*time.Second)
 	return nil
 }
--- a/bench/platform-demo.sh
+++ b/bench/platform-demo.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The demo: builds, starts the stand-in of the platform and 6 entry hosts on
-# loopback, sends a mixed load for about 10 s, prints what came of it and stops
-# what it started.
+# The demo of gentianhost: builds the commands, starts the platform stand-in and 6
+# entry hosts on loopback, sends a mixed load for about 10 s, prints the results and
+# stops what it started.
 #
 #   DEMO_KILL=1    kills one entry host in the middle of the load
-#   DEMO_RATE=60   requests a second
+#   DEMO_RATE=60   requests per second
 #   DEMO_FOR=10s   length of the load
 set -u
 cd "$(dirname "$0")/.." || exit 1
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -1,5 +1,5 @@
-// Command policy measures placement policies on generated traces in virtual
-// time and prints medians over seeds with their spread.
+// Command policy measures placement policies on generated traces in virtual time. It
+// prints the median and range of each result over seeds.
 package main
 
 import (
@@ -22,33 +22,33 @@
 	build func([]replay.Line, replay.Line, replay.Host) replay.Scheduler
 }
 
-// policies are the ones to choose from; "ours" is what the daemon runs, with
-// the numbers that the flags change.
+// policies returns all policies. "ours" is the policy of the daemon with the settings
+// that the flags override.
 func policies(c *cli.Command) []policy {
-	ours := core.DefaultPolicy()
-	override(&ours.MissPrice, c.Float("miss-price"))
-	override(&ours.EvictPrice, c.Float("evict-price"))
-	override(&ours.PriceShare, c.Float("price-share"))
-	override(&ours.AgeShare, c.Float("age-share"))
-	override(&ours.HeldAgeShare, c.Float("held-age-share"))
-	override(&ours.MissBudget, c.Float("miss-budget"))
-	override(&ours.Headroom, c.Int("headroom"))
-	override(&ours.UrgentPrefill, c.Duration("urgent-prefill"))
-	override(&ours.BulkPrefill, c.Duration("bulk-prefill"))
+	configured := core.DefaultPolicy()
+	override(&configured.MissPrice, c.Float("miss-price"))
+	override(&configured.EvictPrice, c.Float("evict-price"))
+	override(&configured.PriceShare, c.Float("price-share"))
+	override(&configured.AgeShare, c.Float("age-share"))
+	override(&configured.HeldAgeShare, c.Float("held-age-share"))
+	override(&configured.MissBudget, c.Float("miss-budget"))
+	override(&configured.Headroom, c.Int("headroom"))
+	override(&configured.UrgentPrefill, c.Duration("urgent-prefill"))
+	override(&configured.BulkPrefill, c.Duration("bulk-prefill"))
 	noPick := core.DefaultPolicy()
 	noPick.ServerPicks = false
-	bare := noPick
-	bare.MissPrice = 1
+	bareMiss := noPick
+	bareMiss.MissPrice = 1
 	return []policy{
 		{"round-robin", replay.RoundRobin},
 		{"least-in-flight", replay.LeastInFlight},
-		{"queue-bare-miss", replay.Core(bare)},
+		{"queue-bare-miss", replay.Core(bareMiss)},
 		{"queue-no-pick", replay.Core(noPick)},
-		{"ours", replay.Core(ours)},
+		{"ours", replay.Core(configured)},
 	}
 }
 
-// unchanged is the value of a policy flag that was not given.
+// unchanged is the value of a policy flag that is not set.
 const unchanged = -1
 
 func override[T int | float64 | time.Duration](to *T, v T) {
@@ -61,19 +61,19 @@
 	cmd := &cli.Command{
 		Name: "policy", Usage: "measure placement policies in virtual time",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "fleet", Value: "qasida", Usage: "tsumugi, qasida, or either with -varied"},
-			&cli.FloatFlag{Name: "capacity", Value: 0, Usage: "requests a second at load 1; 0 finds it"},
+			&cli.StringFlag{Name: "fleet", Value: "qasida", Usage: "tsumugi or qasida, each optionally with the suffix -varied"},
+			&cli.FloatFlag{Name: "capacity", Value: 0, Usage: "requests per second at load 1; 0 means to search for the capacity"},
 			&cli.StringFlag{Name: "loads", Value: "0.7,1,2,4"},
 			&cli.StringFlag{Name: "policies", Value: "least-in-flight,queue-no-pick,ours"},
 			&cli.IntFlag{Name: "seeds", Value: 5},
-			&cli.DurationFlag{Name: "for", Value: 60 * time.Second, Usage: "length of arrivals, virtual"},
+			&cli.DurationFlag{Name: "for", Value: 60 * time.Second, Usage: "virtual time during which requests arrive"},
 			&cli.Int64Flag{Name: "cache-lag", Usage: "ms"},
 			&cli.FloatFlag{Name: "cache-loss"},
-			&cli.IntFlag{Name: "cache-tokens", Usage: "real cache of each engine; the home believes 60,000"},
+			&cli.IntFlag{Name: "cache-tokens", Usage: "actual cache size of each engine in tokens; the home assumes 60,000"},
 			&cli.Int64Flag{Name: "load-lag", Usage: "ms"},
-			&cli.IntFlag{Name: "load-skew", Usage: "requests that load reports count too many"},
-			&cli.IntFlag{Name: "flood", Usage: "times its share that account 1 sends"},
-			&cli.BoolFlag{Name: "bound", Usage: "print goodput over the strict-order bound"},
+			&cli.IntFlag{Name: "load-skew", Usage: "number of requests by which load reports are too high"},
+			&cli.IntFlag{Name: "flood", Usage: "multiple of its share that account 1 sends"},
+			&cli.BoolFlag{Name: "bound", Usage: "print goodput relative to the bound of strict tier order"},
 			&cli.FloatFlag{Name: "miss-price", Value: unchanged},
 			&cli.FloatFlag{Name: "evict-price", Value: unchanged},
 			&cli.FloatFlag{Name: "price-share", Value: unchanged},
@@ -93,7 +93,7 @@
 	}
 }
 
-func fleetOf(name string) replay.Fleet {
+func fleetByName(name string) replay.Fleet {
 	f := replay.Qasida()
 	if strings.HasPrefix(name, "tsumugi") {
 		f = replay.Tsumugi()
@@ -106,7 +106,7 @@
 
 const allTiers = 9
 
-// trace generates one run with the faults and lags of the flags.
+// trace generates the trace of one run with the faults and lags that the flags set.
 func trace(c *cli.Command, f replay.Fleet, rate float64, seed uint64, maxTier int) replay.Trace {
 	t := f.Generate(rate, c.Duration("for"), seed, maxTier)
 	opt := replay.Line{
@@ -125,7 +125,7 @@
 	return t
 }
 
-// flood adds n-1 times the share of account 1 on top.
+// flood generates the additional requests of account 1: n-1 times its share.
 func flood(f replay.Fleet, rate float64, d time.Duration, seed uint64, n int) replay.Trace {
 	extra := f.Generate(rate/5*float64(n-1), d, seed+1000, allTiers)
 	var out replay.Trace
@@ -138,19 +138,19 @@
 	return out
 }
 
-const goodShare = 0.99
+const minInTimeShare = 0.99
 
-// settleTime is how long after the last arrival a run may go on at capacity:
-// longer means that a backlog grew which long deadlines only hide.
-const settleTime = 15 * time.Second
+// maxSettleTime is the longest time that a run within capacity may take after the last
+// arrival. A longer run has built up a backlog that long deadlines hide.
+const maxSettleTime = 15 * time.Second
 
-// capacity is the highest rate at which ours answers 0.99 of all in time on
-// each of a few seeds, and no backlog is left.
+// capacity returns the highest rate at which the default policy answers 0.99 of all
+// requests in time and leaves no backlog, for each of a few seeds.
 func capacity(c *cli.Command, f replay.Fleet) float64 {
 	low, high := 1.0, 2000.0
 	for high/low > 1.02 {
 		mid := (low + high) / 2
-		if carries(c, f, mid) {
+		if sustains(c, f, mid) {
 			low = mid
 		} else {
 			high = mid
@@ -161,14 +161,14 @@
 
 const capacitySeeds = 3
 
-func carries(c *cli.Command, f replay.Fleet, rate float64) bool {
+func sustains(c *cli.Command, f replay.Fleet, rate float64) bool {
 	for seed := uint64(1); seed <= capacitySeeds; seed++ {
 		r := replay.Run(trace(c, f, rate, seed, allTiers), replay.Core(core.DefaultPolicy()))
-		offered, good := 0, 0
+		offered, inTime := 0, 0
 		for _, t := range r.Tiers {
-			offered, good = offered+t.Offered, good+t.InTime
+			offered, inTime = offered+t.Offered, inTime+t.InTime
 		}
-		if float64(good) < goodShare*float64(offered) || r.Ended > c.Duration("for")+settleTime {
+		if float64(inTime) < minInTimeShare*float64(offered) || r.Ended > c.Duration("for")+maxSettleTime {
 			return false
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 func measure(_ context.Context, c *cli.Command) error {
-	f := fleetOf(c.String("fleet"))
+	f := fleetByName(c.String("fleet"))
 	rate := c.Float("capacity")
 	if rate == 0 {
 		rate = capacity(c, f)
@@ -199,15 +199,15 @@
 	return nil
 }
 
-// printRow runs all seeds of one row, a few at a time.
+// printRow runs all seeds of one row, up to four at a time, and prints the row.
 func printRow(c *cli.Command, f replay.Fleet, load, rate float64, p policy) {
 	n := c.Int("seeds")
 	results := make([]replay.Result, n)
 	bounds := make([]map[int]float64, n)
-	var all sync.WaitGroup
+	var runs sync.WaitGroup
 	slots := make(chan struct{}, 4)
 	for i := range n {
-		all.Go(func() {
+		runs.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			results[i] = replay.Run(trace(c, f, rate, uint64(i+1), allTiers), p.build)
@@ -216,33 +216,34 @@
 			}
 		})
 	}
-	all.Wait()
+	runs.Wait()
 	fmt.Printf("%4.1f  %-16s", load, p.name)
 	for _, tier := range results[0].Numbers() {
-		fmt.Printf(" %d: %s", tier, spread(results, func(r replay.Result) float64 { return r.Tiers[tier].Goodput() }))
+		fmt.Printf(" %d: %s", tier, medianAndRange(results, func(r replay.Result) float64 { return r.Tiers[tier].Goodput() }))
 		if c.Bool("bound") {
 			fmt.Printf(" of bound %.3f", medianBound(results, bounds, tier))
 		}
 	}
 	late := func(r replay.Result) float64 { return float64(r.Unread) / float64(max(1, r.Computed)) }
-	fmt.Printf("  %s %s", spread(results, replay.Result.Wasted), spread(results, late))
+	fmt.Printf("  %s %s", medianAndRange(results, replay.Result.Wasted), medianAndRange(results, late))
 	if c.Int("flood") > 0 {
 		others := func(r replay.Result) float64 {
-			offered, good := 0, 0
+			offered, inTime := 0, 0
 			for a, t := range r.Accounts {
 				if a != 1 {
-					offered, good = offered+t.Offered, good+t.InTime
+					offered, inTime = offered+t.Offered, inTime+t.InTime
 				}
 			}
-			return float64(good) / float64(max(1, offered))
+			return float64(inTime) / float64(max(1, offered))
 		}
-		fmt.Printf("  other accounts %s", spread(results, others))
+		fmt.Printf("  other accounts %s", medianAndRange(results, others))
 	}
-	p99 := spread(results, func(r replay.Result) float64 { return r.Tiers[r.Numbers()[0]].P99().Seconds() })
+	p99 := medianAndRange(results, func(r replay.Result) float64 { return r.Tiers[r.Numbers()[0]].P99().Seconds() })
 	fmt.Printf("  p99 of the first tier %s s\n", p99)
 }
 
-// bound is what a tier gets when nothing below it arrives.
+// bound returns the goodput of each tier when no request of a less urgent tier
+// arrives.
 func bound(c *cli.Command, f replay.Fleet, rate float64, seed uint64, p policy) map[int]float64 {
 	out := map[int]float64{}
 	for _, w := range f.Works {
@@ -260,7 +261,7 @@
 	return v[len(v)/2]
 }
 
-func spread(results []replay.Result, f func(replay.Result) float64) string {
+func medianAndRange(results []replay.Result, f func(replay.Result) float64) string {
 	var v []float64
 	for _, r := range results {
 		v = append(v, f(r))
--- a/bench/traces/main.go
+++ b/bench/traces/main.go
@@ -1,6 +1,6 @@
-// Command traces writes the recorded traces of the repository with the
-// outcomes that the core has on them now. It is run when a change of policy
-// is meant to change outcomes; the differences go into the commit.
+// Command traces regenerates the recorded traces of the repository with the outcomes
+// of the current scheduler core. Run it when a policy change is meant to change
+// outcomes, and commit the differences.
 package main
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	length = 12 * time.Second
-	seed   = 11
+	arrivalDuration = 12 * time.Second
+	seed            = 11
 )
 
-// small is a fleet of three unlike servers.
-func small() replay.Fleet {
+// smallFleet returns a fleet of three servers of different speeds.
+func smallFleet() replay.Fleet {
 	f := replay.Qasida()
 	f.Name = "small"
 	f.Speeds = []float64{1, 2, 4}
@@ -31,21 +31,21 @@
 	return l
 }
 
-// traces builds each trace without its outcomes.
+// traces returns all traces by name, without outcomes.
 func traces() map[string]replay.Trace {
-	f := small()
+	f := smallFleet()
 	t := map[string]replay.Trace{
-		"overload-burst":     f.Generate(60, length, seed, 9),
-		"slow-server":        f.Generate(12, length, seed, 9),
-		"stale-load-reports": f.Generate(12, length, seed, 9),
-		"home-loss":          f.Generate(12, length, seed, 9),
+		"overload-burst":     f.Generate(60, arrivalDuration, seed, 9),
+		"slow-server":        f.Generate(12, arrivalDuration, seed, 9),
+		"stale-load-reports": f.Generate(12, arrivalDuration, seed, 9),
+		"home-loss":          f.Generate(12, arrivalDuration, seed, 9),
 	}
-	hot := f
-	hot.Works = append([]replay.Work(nil), f.Works...)
-	for i := range hot.Works {
-		hot.Works[i].Prefixes = 1
+	hotFleet := f
+	hotFleet.Works = append([]replay.Work(nil), f.Works...)
+	for i := range hotFleet.Works {
+		hotFleet.Works[i].Prefixes = 1
 	}
-	t["hot-prefix"] = hot.Generate(20, length, seed, 9)
+	t["hot-prefix"] = hotFleet.Generate(20, arrivalDuration, seed, 9)
 	t["flooding-account"] = flood(f)
 	add := func(name string, lines ...replay.Line) {
 		tr := t[name]
@@ -58,10 +58,10 @@
 	return t
 }
 
-// flood gives account 1 twenty times its share.
+// flood returns a trace in which account 1 sends twenty times its share.
 func flood(f replay.Fleet) replay.Trace {
-	t := f.Generate(6, length, seed, 9)
-	extra := f.Generate(60, length, seed+1, 2)
+	t := f.Generate(6, arrivalDuration, seed, 9)
+	extra := f.Generate(60, arrivalDuration, seed+1, 2)
 	for _, l := range extra.Lines {
 		if l.Kind == replay.LineArrival {
 			l.Account = 1
