--- a/internal/experiment/agenda.go
+++ b/internal/experiment/agenda.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// happening is something that comes at a time; seq keeps those of one moment in
-// the order in which they were planned.
-type happening struct {
+// scheduledEvent is an event of the simulation at a virtual time. Events at the same time
+// run in the order of seq, in which they were scheduled.
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func(now time.Duration)
 }
 
-// agenda is a heap of what is to come, soonest first.
-type agenda []happening
+// eventQueue is a heap of future events, earliest first.
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { *a = append(*a, x.(happening)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
-	old := *a
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// soundTakenBack is the part of sound versions that a judge may take back.
-const soundTakenBack = 1.0 / 300
+// falseRollbackRate is the fraction of sound versions that a test may roll back.
+const falseRollbackRate = 1.0 / 300
 
-// tolerated is the part of answers that fail for reasons of their own, of any version. Without
-// it a single failure would prove a version bad, which no judge may go by.
-const tolerated = 0.01
+// baseFailRate is the fraction of answers of any version that fail for unrelated reasons.
+// Without it a single failure would prove a version bad, and no test may rely on that.
+const baseFailRate = 0.01
 
-// spreadOfTime is how far the times of one server's answers lie from each other, as a
-// logarithm.
-const spreadOfTime = 0.3
+// timeSigma is the standard deviation of the logarithm of one server's response times.
+const timeSigma = 0.3
 
-// BestMisses is the part of the plays of a bad version that the best of all tests moves to when
-// it takes back one in 300 sound ones, of which one answer in a hundred fails: a bound for every
-// judge that bears so much. The test knows how the version would be bad, each server's speed and
-// how many servers are in trouble, though not which; it has all answers that the allowance buys
-// until the deadline. It is the likelihood ratio against a sound version, worked out over that
-// many plays of each. ok is false for sound versions, and for those that are bad under load
-// only: what a server's load is depends on the judge.
+// BestMisses estimates the smallest possible fraction of bad versions that a statistical test
+// fails to detect if it rolls back one in 300 sound versions and one in a hundred answers of a
+// sound version fails. It is a lower bound for every test with that rate of false alarms. The
+// optimal test is the likelihood ratio against a sound version. It knows the defect, each
+// server's speed and how many servers have a fault, but not which, and uses all answers that the
+// bounds allow until the deadline. The estimate takes plays simulations of each version. ok is
+// false for sound versions and for versions that are bad only under load, because the load of a
+// server depends on the test's own decisions.
 func BestMisses(r *Rollout, plays int) (missed float64, ok bool) {
-	if !r.Version.bad() || r.Version.Loaded {
+	if !r.Version.bad() || r.Version.OnlyLoaded {
 		return 0, false
 	}
 	sound, bad := make([]float64, plays), make([]float64, plays)
 	for seed := range plays {
 		rng := rand.New(rand.NewPCG(uint64(seed), 12))
-		sound[seed] = evidence(r, rng, false)
-		bad[seed] = evidence(r, rng, true)
+		sound[seed] = logLikelihoodRatio(r, rng, false)
+		bad[seed] = logLikelihoodRatio(r, rng, true)
 	}
 	slices.Sort(sound)
-	threshold := sound[len(sound)-1-int(soundTakenBack*float64(plays))]
+	threshold := sound[len(sound)-1-int(falseRollbackRate*float64(plays))]
 	n := 0
 	for _, e := range bad {
 		if e <= threshold {
@@ -46,12 +46,12 @@
 	return float64(n) / float64(plays), true
 }
 
-// troubled is a state that a server may be in for a reason of its own.
-type troubled struct{ grey, slow bool }
+// serverFault is a combination of faults that a server may have whatever its version.
+type serverFault struct{ grey, slow bool }
 
-// chance is how likely a server is in that state.
-func (s troubled) chance(r *Rollout) float64 {
-	p, q := r.Grey, r.Slow
+// probability returns the probability that a server has exactly these faults.
+func (s serverFault) probability(r *Rollout) float64 {
+	p, q := r.GreyShare, r.SlowShare
 	if !s.grey {
 		p = 1 - p
 	}
@@ -61,90 +61,91 @@
 	return p * q
 }
 
-var troubledStates = []troubled{{}, {grey: true}, {slow: true}, {grey: true, slow: true}}
+var serverFaults = []serverFault{{}, {grey: true}, {slow: true}, {grey: true, slow: true}}
 
-// evidence plays all the answers that the allowance buys of a version and returns the logarithm
-// of the ratio of their likelihoods, bad to sound.
-func evidence(r *Rollout, rng *rand.Rand, isBad bool) (ratio float64) {
-	answers := int(r.Bounds.Share*r.Rate*r.Lasts.Seconds() + r.Bounds.Slack)
+// logLikelihoodRatio simulates all answers of a version that the bounds allow and returns the
+// logarithm of the ratio of their likelihoods, bad to sound.
+func logLikelihoodRatio(r *Rollout, rng *rand.Rand, isBad bool) (logRatio float64) {
+	answers := int(r.Bounds.Share*r.Rate*r.Length.Seconds() + r.Bounds.Slack)
 	for server := range r.Servers {
-		state := troubled{grey: rng.Float64() < r.Grey, slow: rng.Float64() < r.Slow}
-		var ifBad, ifSound [4]float64 // by state
+		fault := serverFault{grey: rng.Float64() < r.GreyShare, slow: rng.Float64() < r.SlowShare}
+		var ifBad, ifSound [4]float64 // log likelihoods by index of serverFaults
 		for n := server; n < answers; n += r.Servers {
-			a := drawAnswer(r, rng, state, isBad)
-			for i, s := range troubledStates {
-				ifBad[i] += a.likelihood(r, s, true)
-				ifSound[i] += a.likelihood(r, s, false)
+			a := drawAnswer(r, rng, fault, isBad)
+			for i, s := range serverFaults {
+				ifBad[i] += a.logLikelihood(r, s, true)
+				ifSound[i] += a.logLikelihood(r, s, false)
 			}
 		}
-		ratio += mixed(r, ifBad) - mixed(r, ifSound)
+		logRatio += mixture(r, ifBad) - mixture(r, ifSound)
 	}
-	return ratio
+	return logRatio
 }
 
-// mixed joins the likelihoods of a server's answers over the states that it may be in.
-func mixed(r *Rollout, byState [4]float64) float64 {
-	most := slices.Max(byState[:])
+// mixture combines the log likelihoods of a server's answers over the faults that it may have,
+// weighted by their probability.
+func mixture(r *Rollout, byFault [4]float64) float64 {
+	highest := slices.Max(byFault[:])
 	sum := 0.0
-	for i, s := range troubledStates {
-		sum += s.chance(r) * math.Exp(byState[i]-most)
+	for i, s := range serverFaults {
+		sum += s.probability(r) * math.Exp(byFault[i]-highest)
 	}
-	return most + math.Log(sum)
+	return highest + math.Log(sum)
 }
 
-// answerSeen is one answer: when it came, on which route, and what it was.
-type answerSeen struct {
-	at     time.Duration // since the order
-	route  int
-	failed bool
-	took   float64 // the logarithm of the time, in that of a sound answer
+// answerSample is one simulated answer.
+type answerSample struct {
+	at      time.Duration // time since the order
+	route   int
+	failed  bool
+	logTime float64 // logarithm of the response time relative to a sound answer
 }
 
-func drawAnswer(r *Rollout, rng *rand.Rand, s troubled, isBad bool) answerSeen {
-	a := answerSeen{at: time.Duration(rng.Float64() * float64(r.Lasts))}
+func drawAnswer(r *Rollout, rng *rand.Rand, s serverFault, isBad bool) answerSample {
+	a := answerSample{at: time.Duration(rng.Float64() * float64(r.Length))}
 	x := rng.Float64()
 	for a.route = range rolloutRoutes {
 		if x -= rolloutRoutes[a.route].share; x < 0 {
 			break
 		}
 	}
-	fails, slower := a.expected(r, s, isBad)
-	a.failed = rng.Float64() < fails
-	a.took = slower + spreadOfTime*rng.NormFloat64()
+	failProbability, logSlowdown := a.expected(r, s, isBad)
+	a.failed = rng.Float64() < failProbability
+	a.logTime = logSlowdown + timeSigma*rng.NormFloat64()
 	return a
 }
 
-// expected is the chance that such an answer is a failure, and how much longer it takes, as a
-// logarithm.
-func (a answerSeen) expected(r *Rollout, s troubled, isBad bool) (fails, slower float64) {
-	passes := 1 - tolerated
+// expected returns the probability that such an answer fails, and the logarithm of the factor by
+// which it is slower.
+func (a answerSample) expected(r *Rollout, s serverFault, isBad bool) (failProbability, logSlowdown float64) {
+	passes := 1 - baseFailRate
 	if a.route == 0 {
-		passes *= 1 - r.Own
+		passes *= 1 - r.FirstRouteFailShare
 	}
-	trouble := a.at >= r.TroubleAt
-	if s.grey && trouble {
-		passes *= 1 - greyFails
+	faulty := a.at >= r.FaultsAt
+	if s.grey && faulty {
+		passes *= 1 - greyFailShare
 	}
-	if s.slow && trouble {
-		slower += math.Log(slowBy)
+	if s.slow && faulty {
+		logSlowdown += math.Log(slowFactor)
 	}
 	v := r.Version
-	if isBad && a.at >= v.After && (v.Route == "" || v.Route == rolloutRoutes[a.route].name) {
-		passes *= 1 - v.Fail
-		if v.Slow > 1 {
-			slower += math.Log(v.Slow)
+	if isBad && a.at >= v.BadAfter && (v.OnlyRoute == "" || v.OnlyRoute == rolloutRoutes[a.route].name) {
+		passes *= 1 - v.FailShare
+		if v.Slowdown > 1 {
+			logSlowdown += math.Log(v.Slowdown)
 		}
 	}
-	return 1 - passes, slower
+	return 1 - passes, logSlowdown
 }
 
-// likelihood is the logarithm of the likelihood of an answer, but for a constant.
-func (a answerSeen) likelihood(r *Rollout, s troubled, isBad bool) float64 {
-	const never = 1e-9 // of what cannot be
-	fails, slower := a.expected(r, s, isBad)
-	z := (a.took - slower) / spreadOfTime
+// logLikelihood returns the logarithm of the likelihood of an answer, up to a constant.
+func (a answerSample) logLikelihood(r *Rollout, s serverFault, isBad bool) float64 {
+	const minProbability = 1e-9 // of an impossible outcome; keeps the logarithm finite
+	failProbability, logSlowdown := a.expected(r, s, isBad)
+	z := (a.logTime - logSlowdown) / timeSigma
 	if a.failed {
-		return math.Log(max(fails, never)) - z*z/2
+		return math.Log(max(failProbability, minProbability)) - z*z/2
 	}
-	return math.Log(max(1-fails, never)) - z*z/2
+	return math.Log(max(1-failProbability, minProbability)) - z*z/2
 }
--- a/internal/experiment/bound_test.go
+++ b/internal/experiment/bound_test.go
@@ -5,8 +5,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// named finds a roll-out of the lab.
-func named(name string) *Rollout {
+// rolloutByName finds a simulated roll-out.
+func rolloutByName(name string) *Rollout {
 	for _, r := range Rollouts() {
 		if r.Name == name {
 			return r
@@ -16,35 +16,35 @@
 	return nil
 }
 
-var _ = Describe("the bound of what any judge of a roll-out can tell", func() {
+var _ = Describe("the lower bound of the bad versions that any test of a roll-out misses", func() {
 	const plays = 900
 	misses := func(name string) float64 {
-		m, ok := BestMisses(named(name), plays)
+		m, ok := BestMisses(rolloutByName(name), plays)
 		Expect(ok).To(BeTrue())
 		return m
 	}
 
-	It("is nothing where half of the answers fail or take five times as long", func() {
+	It("is zero if half of the answers fail or take five times as long", func() {
 		Expect(misses("fails-50-few")).To(BeZero())
 		Expect(misses("slower-5-few")).To(BeZero())
 	})
 
-	It("grows as less is to be seen", func() {
+	It("grows as fewer answers show the defect", func() {
 		Expect(misses("fails-5-one-route-few")).To(BeNumerically(">", misses("fails-5-few")))
 		Expect(misses("fails-5-one-route-few")).To(BeNumerically(">", misses("fails-5-one-route-many")))
 	})
 
-	It("is what a coin would do where nothing is to be seen", func() {
-		r := *named("fails-5-few")
-		r.Version = BadVersion{Fail: 1e-12}
+	It("is close to 1 if no answer shows the defect", func() {
+		r := *rolloutByName("fails-5-few")
+		r.Version = BadVersion{FailShare: 1e-12}
 		m, ok := BestMisses(&r, plays)
 		Expect(ok).To(BeTrue())
 		Expect(m).To(BeNumerically(">", 0.98))
 	})
 
-	It("is not told of sound versions, or of ones that are bad under load", func() {
+	It("does not exist for sound versions and versions that are bad only under load", func() {
 		for _, name := range []string{"sound-few", "fails-20-loaded-few"} {
-			_, ok := BestMisses(named(name), plays)
+			_, ok := BestMisses(rolloutByName(name), plays)
 			Expect(ok).To(BeFalse(), name)
 		}
 	})
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -6,11 +6,11 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Sum adds up the outcomes of a load by kind over seeds from 0 on.
+// Sum simulates a load with the seeds from 0 to seeds-1 and adds up the outcomes by kind.
 func Sum(l *Load, p sched.Policy, seeds int) []Outcome {
 	sum := make([]Outcome, len(l.Kinds))
 	for seed := range seeds {
-		for k, o := range Play(l, p, uint64(seed)) {
+		for k, o := range Simulate(l, p, uint64(seed)) {
 			sum[k].add(o)
 		}
 	}
@@ -26,47 +26,47 @@
 	o.Cut += other.Cut
 	o.Paused += other.Paused
 	o.sizes = append(o.sizes, other.sizes...)
-	o.whole = append(o.whole, other.whole...)
+	o.answeredSizes = append(o.answeredSizes, other.answeredSizes...)
 }
 
-// Figure is a mean over seeds with half the width of its interval of 95%.
+// Figure is a mean over seeds with half the width of its 95% confidence interval.
 type Figure struct{ Mean, Within float64 }
 
-// Row compares one kind under a policy.
+// Row holds the results of one kind under a policy.
 type Row struct {
 	Kind                 string
 	InTime, Served, Late Figure
-	LargestServed        Figure // of the largest tenth
+	LargestServed        Figure // among the largest tenth of the requests
 }
 
-// Rows plays a load over seeds and returns a row a kind.
+// Rows simulates a load with the seeds from 0 to seeds-1 and returns a row for each kind.
 func Rows(l *Load, p sched.Policy, seeds int) []Row {
-	plays := make([][]Outcome, seeds)
-	for seed := range plays {
-		plays[seed] = Play(l, p, uint64(seed))
+	runs := make([][]Outcome, seeds)
+	for seed := range runs {
+		runs[seed] = Simulate(l, p, uint64(seed))
 	}
 	rows := make([]Row, len(l.Kinds))
 	for k := range rows {
-		of := func(f func(Outcome) float64) Figure {
+		estimate := func(f func(Outcome) float64) Figure {
 			values := make([]float64, seeds)
 			for i := range values {
-				values[i] = f(plays[i][k])
+				values[i] = f(runs[i][k])
 			}
-			return figure(values)
+			return meanWithInterval(values)
 		}
 		rows[k] = Row{
-			Kind: l.Kinds[k].Name, InTime: of(Outcome.InTime), Served: of(Outcome.Served),
-			LargestServed: of(Outcome.LargestServed),
-			Late:          of(func(o Outcome) float64 { return share(o.Late, o.Asked) }),
+			Kind: l.Kinds[k].Name, InTime: estimate(Outcome.InTime), Served: estimate(Outcome.Served),
+			LargestServed: estimate(Outcome.LargestServed),
+			Late:          estimate(func(o Outcome) float64 { return share(o.Late, o.Asked) }),
 		}
 	}
 	return rows
 }
 
-// normal is the half width of an interval of 95% in standard errors.
-const normal = 1.96
+// z95 is half the width of a 95% confidence interval in standard errors.
+const z95 = 1.96
 
-func figure(values []float64) Figure {
+func meanWithInterval(values []float64) Figure {
 	n := float64(len(values))
 	sum, squares := 0.0, 0.0
 	for _, v := range values {
@@ -79,5 +79,5 @@
 	if n < 2 {
 		return Figure{Mean: mean}
 	}
-	return Figure{Mean: mean, Within: normal * math.Sqrt(squares/(n-1)/n)}
+	return Figure{Mean: mean, Within: z95 * math.Sqrt(squares/(n-1)/n)}
 }
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -15,60 +15,61 @@
 const (
 	service = "engines"
 	holder  = 1
-	// tick is how often time passes at the scheduler, reach what a message takes
+	// tickInterval is how often the scheduler's Tick is called, messageDelay the delay of a message
 	// between caller, holder and server.
-	tick  = 10 * time.Millisecond
-	reach = 2 * time.Millisecond
-	// returnMost is the part of its time left that a caller honours of what it is
-	// told to wait.
-	returnMost = 1.0 / 3
+	tickInterval = 10 * time.Millisecond
+	messageDelay = 2 * time.Millisecond
+	// maxRetryAfterShare is the largest fraction of its remaining time that a caller
+	// waits before a retry, whatever Retry-After says.
+	maxRetryAfterShare = 1.0 / 3
 )
 
-// Outcome counts what came of the requests of a kind.
+// Outcome counts the requests of a kind by how they ended.
 type Outcome struct {
-	Asked int
-	// OnTime had their first event in time and no pause over what is on time, Late
-	// were whole but had not.
+	Asked int // all requests
+	// OnTime requests met the latency target of the first event and the limit of pauses
+	// between events. Late requests were answered in full, but missed one of them.
 	OnTime, Late int
-	// Refused were told that they did not run, twice; Left gave up waiting; Cut ran
-	// out of time.
+	// Refused requests were refused twice, Left ones ended by the caller timeout before
+	// they were placed, Cut ones ran past their deadline.
 	Refused, Left, Cut int
-	// Paused are those of Late whose first event was in time.
+	// Paused counts the Late requests whose first event was in time.
 	Paused int
-	// sizes are those of all requests, whole those of the whole answers: tokens read and
-	// ten times those generated, as both take an engine's time.
-	sizes, whole []float64
+	// sizes are the sizes of all requests, answeredSizes those of the requests that were
+	// answered in full. A size is the number of prompt tokens plus ten times the number of
+	// output tokens, in proportion to the engine time that they take.
+	sizes, answeredSizes []float64
 }
 
-// Served is the share of whole answers.
+// Served returns the share of requests that were answered in full.
 func (o Outcome) Served() float64 { return share(o.OnTime+o.Late, o.Asked) }
 
-// LargestServed is the share of whole answers among the largest tenth.
+// LargestServed returns the share of the largest tenth of the requests that were answered in full.
 func (o Outcome) LargestServed() float64 { return o.ServedBySize(0.9, 1) }
 
-// ServedBySize is the share of whole answers among the requests between two parts of them in
-// order of size: 0.9 and 1 for the largest tenth.
+// ServedBySize returns the share answered in full of the requests between two quantiles of size:
+// 0.9 and 1 for the largest tenth.
 func (o Outcome) ServedBySize(from, to float64) float64 {
 	if len(o.sizes) == 0 {
 		return 1
 	}
 	sizes := slices.Sorted(slices.Values(o.sizes))
-	least, most := sizes[int(from*float64(len(sizes)))], math.Inf(1)
+	minSize, maxSize := sizes[int(from*float64(len(sizes)))], math.Inf(1)
 	if i := int(to * float64(len(sizes))); i < len(sizes) {
-		most = sizes[i]
+		maxSize = sizes[i]
 	}
-	count := func(of []float64) (n int) {
-		for _, size := range of {
-			if size >= least && size < most {
+	count := func(in []float64) (n int) {
+		for _, size := range in {
+			if size >= minSize && size < maxSize {
 				n++
 			}
 		}
 		return n
 	}
-	return share(count(o.whole), count(o.sizes))
+	return share(count(o.answeredSizes), count(o.sizes))
 }
 
-// InTime is the share that was on time.
+// InTime returns the share of requests that were on time.
 func (o Outcome) InTime() float64 { return share(o.OnTime, o.Asked) }
 
 func share(n, of int) float64 {
@@ -78,208 +79,208 @@
 	return float64(n) / float64(of)
 }
 
-// request is a caller's request over its attempts.
+// request is a caller's request with its attempts.
 type request struct {
-	kind    int
-	prompt  int
-	output  int // real
-	hint    int // expected
-	started time.Duration
-	again   bool // this is the caller's second attempt
-	placed  time.Duration
-	running bool
-	first   time.Duration // since placed
-	newest  time.Duration // event
-	pause   time.Duration // longest
-	events  int
+	kind        int
+	prompt      int
+	output      int // tokens that are generated
+	hint        int // output tokens expected by the caller
+	submittedAt time.Duration
+	retried     bool // the caller has retried
+	placedAt    time.Duration
+	running     bool
+	firstEvent  time.Duration // from placement to the first event
+	lastEventAt time.Duration
+	maxPause    time.Duration // longest pause between events
+	eventCount  int
 }
 
 func (r *request) size() float64 { return float64(r.prompt + 10*r.output) }
 
-// day is one play of a load.
-type day struct {
-	load    *Load
-	s       *sched.Scheduler
-	rng     *rand.Rand
-	agenda  agenda
-	engines map[string]*engine.Engine
-	stepped map[string]bool // a step's end is in the agenda
-	open    map[uint64]*request
-	next    uint64
-	seq     int
-	result  []Outcome
+// simulation is one run of a load in virtual time.
+type simulation struct {
+	load          *Load
+	scheduler     *sched.Scheduler
+	rng           *rand.Rand
+	eventQueue    eventQueue
+	engines       map[string]*engine.Engine
+	stepScheduled map[string]bool     // by server: the end of its step is in the event queue
+	open          map[uint64]*request // by ID
+	lastID        uint64
+	seq           int
+	outcomes      []Outcome // by kind
 }
 
-// Play plays a load with a policy; the same seed gives the same requests.
-func Play(l *Load, p sched.Policy, seed uint64) []Outcome {
-	d := &day{
-		load: l, s: sched.New(p), rng: rand.New(rand.NewPCG(seed, 7)),
-		engines: map[string]*engine.Engine{}, stepped: map[string]bool{}, open: map[uint64]*request{},
-		result: make([]Outcome, len(l.Kinds)),
+// Simulate runs a load with a policy. The same seed gives the same requests.
+func Simulate(l *Load, p sched.Policy, seed uint64) []Outcome {
+	sim := &simulation{
+		load: l, scheduler: sched.New(p), rng: rand.New(rand.NewPCG(seed, 7)),
+		engines: map[string]*engine.Engine{}, stepScheduled: map[string]bool{}, open: map[uint64]*request{},
+		outcomes: make([]Outcome, len(l.Kinds)),
 	}
-	d.s.SetServices(0, []sched.Service{{Name: service, Engine: true, Stride: l.Engines[0].Stride}})
+	sim.scheduler.SetServices(0, []sched.Service{{Name: service, Engine: true, Stride: l.Engines[0].Stride}})
 	var list []sched.Server
 	for i, spec := range l.Engines {
 		id := fmt.Sprintf("e%02d", i)
-		d.engines[id] = engine.New(spec)
+		sim.engines[id] = engine.New(spec)
 		list = append(list, sched.Server{ID: id, Service: service, Slots: spec.Slots})
 	}
-	d.s.SetServers(0, list)
-	d.at(0, d.arrive)
-	d.at(tick, d.pass)
-	for d.agenda.Len() > 0 {
-		h := heap.Pop(&d.agenda).(happening)
-		h.do(h.at)
+	sim.scheduler.SetServers(0, list)
+	sim.schedule(0, sim.arrive)
+	sim.schedule(tickInterval, sim.tickScheduler)
+	for sim.eventQueue.Len() > 0 {
+		ev := heap.Pop(&sim.eventQueue).(scheduledEvent)
+		ev.do(ev.at)
 	}
-	return d.result
+	return sim.outcomes
 }
 
-func (d *day) at(t time.Duration, do func(now time.Duration)) {
-	d.seq++
-	heap.Push(&d.agenda, happening{t, d.seq, do})
+func (sim *simulation) schedule(at time.Duration, do func(now time.Duration)) {
+	sim.seq++
+	heap.Push(&sim.eventQueue, scheduledEvent{at, sim.seq, do})
 }
 
-// pass lets time pass at the scheduler until all is answered.
-func (d *day) pass(now time.Duration) {
-	d.apply(now, d.s.Tick(now))
-	if now < d.load.Lasts || len(d.open) > 0 {
-		d.at(now+tick, d.pass)
+// tickScheduler calls the scheduler's Tick at intervals until all requests have ended.
+func (sim *simulation) tickScheduler(now time.Duration) {
+	sim.apply(now, sim.scheduler.Tick(now))
+	if now < sim.load.Length || len(sim.open) > 0 {
+		sim.schedule(now+tickInterval, sim.tickScheduler)
 	}
 }
 
-// size draws a lognormal size.
-func (d *day) size(median, spread float64, most int) int {
-	return min(most, 1+int(median*math.Exp(spread*d.rng.NormFloat64())))
+// lognormal draws a number of tokens from a lognormal distribution, at most limit.
+func (sim *simulation) lognormal(median, sigma float64, limit int) int {
+	return min(limit, 1+int(median*math.Exp(sigma*sim.rng.NormFloat64())))
 }
 
-// arrive brings a new request and plans the next one.
-func (d *day) arrive(now time.Duration) {
-	k := d.draw()
-	kind := &d.load.Kinds[k]
+// arrive submits a new request and schedules the arrival of the next one.
+func (sim *simulation) arrive(now time.Duration) {
+	k := sim.drawKind()
+	kind := &sim.load.Kinds[k]
 	r := &request{
-		kind: k, started: now, prompt: d.size(kind.Prompt, kind.PromptSpread, kind.PromptMost),
-		output: d.size(kind.Output, kind.OutputSpread, kind.OutputMost),
+		kind: k, submittedAt: now, prompt: sim.lognormal(kind.MedianPrompt, kind.PromptSigma, kind.MaxPrompt),
+		output: sim.lognormal(kind.MedianOutput, kind.OutputSigma, kind.MaxOutput),
 	}
-	r.hint = 1 + int(float64(r.output)*math.Exp(d.load.HintError*d.rng.NormFloat64()))
-	d.result[k].Asked++
-	d.result[k].sizes = append(d.result[k].sizes, r.size())
-	gap := d.rng.ExpFloat64() / d.load.rate(now)
-	if next := now + time.Duration(gap*float64(time.Second)); next < d.load.Lasts {
-		d.at(next, d.arrive)
+	r.hint = 1 + int(float64(r.output)*math.Exp(sim.load.HintError*sim.rng.NormFloat64()))
+	sim.outcomes[k].Asked++
+	sim.outcomes[k].sizes = append(sim.outcomes[k].sizes, r.size())
+	gap := sim.rng.ExpFloat64() / sim.load.rate(now)
+	if next := now + time.Duration(gap*float64(time.Second)); next < sim.load.Length {
+		sim.schedule(next, sim.arrive)
 	}
-	d.submit(now, r)
+	sim.submit(now, r)
 }
 
-func (d *day) draw() int {
-	x := d.rng.Float64()
-	for k := range d.load.Kinds {
-		if x -= d.load.Kinds[k].Share; x < 0 {
+func (sim *simulation) drawKind() int {
+	x := sim.rng.Float64()
+	for k := range sim.load.Kinds {
+		if x -= sim.load.Kinds[k].Share; x < 0 {
 			return k
 		}
 	}
 	return 0
 }
 
-func (d *day) submit(now time.Duration, r *request) {
-	kind := &d.load.Kinds[r.kind]
-	d.next++
-	id := d.next
-	d.open[id] = r
-	deadline := r.started + kind.Deadline
-	leaves := now + kind.Patience
-	d.at(leaves, func(now time.Duration) { d.leave(now, id) })
-	out, _ := d.s.Submit(now, sched.Request{
+func (sim *simulation) submit(now time.Duration, r *request) {
+	kind := &sim.load.Kinds[r.kind]
+	sim.lastID++
+	id := sim.lastID
+	sim.open[id] = r
+	deadline := r.submittedAt + kind.Deadline
+	timeout := now + kind.CallerTimeout
+	sim.schedule(timeout, func(now time.Duration) { sim.callerTimeout(now, id) })
+	out, _ := sim.scheduler.Submit(now, sched.Request{
 		Key: sched.Key{Holder: holder, ID: id}, Service: service, Priority: kind.Priority,
-		PromptTokens: r.prompt, OutputTokens: r.hint, Arrived: now, Aim: now + kind.Aim,
-		LeavesAt: leaves, Deadline: deadline, MaxPause: kind.MaxPause,
+		PromptTokens: r.prompt, OutputTokens: r.hint, Arrived: now, Aim: now + kind.LatencyTarget,
+		LeavesAt: timeout, Deadline: deadline, MaxPause: kind.MaxPause,
 	})
-	d.apply(now, out)
+	sim.apply(now, out)
 }
 
-func (d *day) apply(now time.Duration, out []sched.Decision) {
+func (sim *simulation) apply(now time.Duration, out []sched.Decision) {
 	for _, o := range out {
-		r := d.open[o.ID]
+		r := sim.open[o.ID]
 		if r == nil {
 			continue
 		}
 		if o.Reason == 0 {
-			r.running, r.placed = true, now
+			r.running, r.placedAt = true, now
 			id, server := o.ID, o.Server
-			d.at(now+reach, func(now time.Duration) {
-				d.engines[server].Submit(now, id, r.prompt, r.output)
-				d.watch(server)
+			sim.schedule(now+messageDelay, func(now time.Duration) {
+				sim.engines[server].Submit(now, id, r.prompt, r.output)
+				sim.scheduleStep(server)
 			})
 			continue
 		}
-		delete(d.open, o.ID)
-		d.refused(now, r, o.RetryAfter)
+		delete(sim.open, o.ID)
+		sim.retryOrRefuse(now, r, o.RetryAfter)
 	}
 }
 
-// refused lets the caller come back once, when told.
-func (d *day) refused(now time.Duration, r *request, after time.Duration) {
-	left := r.started + d.load.Kinds[r.kind].Deadline - now
-	if r.again || left <= 0 {
-		d.result[r.kind].Refused++
+// retryOrRefuse has the caller retry once, after the delay that the scheduler stated.
+func (sim *simulation) retryOrRefuse(now time.Duration, r *request, retryAfter time.Duration) {
+	left := r.submittedAt + sim.load.Kinds[r.kind].Deadline - now
+	if r.retried || left <= 0 {
+		sim.outcomes[r.kind].Refused++
 		return
 	}
-	r.again = true
-	d.at(now+min(after, time.Duration(returnMost*float64(left))), func(now time.Duration) { d.submit(now, r) })
+	r.retried = true
+	sim.schedule(now+min(retryAfter, time.Duration(maxRetryAfterShare*float64(left))), func(now time.Duration) { sim.submit(now, r) })
 }
 
-// leave ends a request that has waited for longer than its caller does.
-func (d *day) leave(now time.Duration, id uint64) {
-	r := d.open[id]
+// callerTimeout withdraws a request that was not placed before its caller gave up.
+func (sim *simulation) callerTimeout(now time.Duration, id uint64) {
+	r := sim.open[id]
 	if r == nil || r.running {
 		return
 	}
-	delete(d.open, id)
-	d.result[r.kind].Left++
-	d.apply(now, d.s.Withdraw(now, sched.Key{Holder: holder, ID: id}))
+	delete(sim.open, id)
+	sim.outcomes[r.kind].Left++
+	sim.apply(now, sim.scheduler.Withdraw(now, sched.Key{Holder: holder, ID: id}))
 }
 
-// watch plans the end of the step in progress at a server.
-func (d *day) watch(server string) {
-	at, busy := d.engines[server].Next()
-	if !busy || d.stepped[server] {
+// scheduleStep schedules the end of the server's step in progress.
+func (sim *simulation) scheduleStep(server string) {
+	at, busy := sim.engines[server].Next()
+	if !busy || sim.stepScheduled[server] {
 		return
 	}
-	d.stepped[server] = true
-	d.at(at, func(now time.Duration) {
-		d.stepped[server] = false
-		for _, ev := range d.engines[server].Step() {
-			d.event(now+reach, ev)
+	sim.stepScheduled[server] = true
+	sim.schedule(at, func(now time.Duration) {
+		sim.stepScheduled[server] = false
+		for _, ev := range sim.engines[server].Step() {
+			sim.deliver(now+messageDelay, ev)
 		}
-		d.watch(server)
+		sim.scheduleStep(server)
 	})
 }
 
-// event takes an event of a stream to its caller.
-func (d *day) event(now time.Duration, ev engine.Event) {
-	r := d.open[ev.ID]
+// deliver passes an event of a stream to its caller.
+func (sim *simulation) deliver(now time.Duration, ev engine.Event) {
+	r := sim.open[ev.ID]
 	if r == nil {
 		return
 	}
-	r.events++
-	if r.events == 1 {
-		r.first = now - r.placed
+	r.eventCount++
+	if r.eventCount == 1 {
+		r.firstEvent = now - r.placedAt
 	} else {
-		r.pause = max(r.pause, now-r.newest)
+		r.maxPause = max(r.maxPause, now-r.lastEventAt)
 	}
-	r.newest = now
+	r.lastEventAt = now
 	if ev.Ended {
-		delete(d.open, ev.ID)
-		d.ended(now, ev.ID, r)
+		delete(sim.open, ev.ID)
+		sim.finish(now, ev.ID, r)
 	}
 }
 
-func (d *day) ended(now time.Duration, id uint64, r *request) {
-	kind, out := &d.load.Kinds[r.kind], &d.result[r.kind]
-	inTime := r.placed+r.first-r.started <= kind.Aim
+func (sim *simulation) finish(now time.Duration, id uint64, r *request) {
+	kind, out := &sim.load.Kinds[r.kind], &sim.outcomes[r.kind]
+	inTime := r.placedAt+r.firstEvent-r.submittedAt <= kind.LatencyTarget
 	switch {
-	case now > r.started+kind.Deadline:
+	case now > r.submittedAt+kind.Deadline:
 		out.Cut++
-	case inTime && r.pause <= kind.MaxPause:
+	case inTime && r.maxPause <= kind.MaxPause:
 		out.OnTime++
 	default:
 		out.Late++
@@ -287,16 +288,16 @@
 			out.Paused++
 		}
 	}
-	if now <= r.started+kind.Deadline {
-		out.whole = append(out.whole, r.size())
+	if now <= r.submittedAt+kind.Deadline {
+		out.answeredSizes = append(out.answeredSizes, r.size())
 	}
-	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: r.first}
-	if now > r.started+kind.Deadline {
+	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: r.firstEvent}
+	if now > r.submittedAt+kind.Deadline {
 		o.Result = sched.Left
 	}
-	if r.events > 2 {
-		stride := d.load.Engines[0].Stride
-		o.Pace = (now - r.placed - r.first) / time.Duration((r.events-1)*stride)
+	if r.eventCount > 2 {
+		stride := sim.load.Engines[0].Stride
+		o.Pace = (now - r.placedAt - r.firstEvent) / time.Duration((r.eventCount-1)*stride)
 	}
-	d.apply(now, d.s.Finish(now, o))
+	sim.apply(now, sim.scheduler.Finish(now, o))
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -1,5 +1,5 @@
-// Package experiment plays loads against the real scheduler in virtual time, with
-// emulated engines, and compares policies over many seeds.
+// Package experiment simulates loads and roll-outs with the real scheduler and emulated
+// servers in virtual time, and compares scheduling policies over many seeds.
 package experiment
 
 import (
@@ -8,34 +8,34 @@
 	"github.com/gentianflow/gentianflow/internal/engine"
 )
 
-// Kind is one kind of request. Sizes are medians of lognormal draws, spreads the
-// deviations of their logarithms.
+// Kind is one kind of request. Sizes have a lognormal distribution; Sigma is the standard
+// deviation of the logarithm.
 type Kind struct {
-	Name         string
-	Priority     int // 0 is the most urgent
-	Share        float64
-	Prompt       float64 // tokens
-	PromptSpread float64
-	PromptMost   int
-	Output       float64 // tokens
-	OutputSpread float64
-	OutputMost   int
-	Aim          time.Duration // for the first event
-	MaxPause     time.Duration // between events
-	Deadline     time.Duration
-	Patience     time.Duration // for the first event; its caller leaves after it
+	Name          string
+	Priority      int // 0 is the most urgent
+	Share         float64
+	MedianPrompt  float64 // tokens
+	PromptSigma   float64
+	MaxPrompt     int
+	MedianOutput  float64 // tokens
+	OutputSigma   float64
+	MaxOutput     int
+	LatencyTarget time.Duration // from submission to the first event
+	MaxPause      time.Duration // longest pause between events that is on time
+	Deadline      time.Duration
+	CallerTimeout time.Duration // the caller gives up if the request isn't placed by then
 }
 
-// Load is a day: kinds of requests before engines.
+// Load describes the requests of a simulation and the engines that serve them.
 type Load struct {
 	Name    string
 	Kinds   []Kind
 	Engines []engine.Spec
 	Rate    float64 // requests a second
 	Bursts  []Burst
-	Lasts   time.Duration
-	// HintError is how far callers' estimates of lengths are off: the deviation of the
-	// logarithm.
+	Length  time.Duration
+	// HintError is the standard deviation of the logarithm of the ratio of the output length
+	// that callers expect to the real one.
 	HintError float64
 }
 
@@ -45,7 +45,7 @@
 	Times   float64
 }
 
-// rate is the requests a second at a moment.
+// rate returns the requests a second at a time.
 func (l *Load) rate(now time.Duration) float64 {
 	r := l.Rate
 	for _, b := range l.Bursts {
@@ -56,7 +56,7 @@
 	return r
 }
 
-// fleet is n engines, of which every third is slower by a factor.
+// fleet returns n engines, of which every third is slower by a factor.
 func fleet(n int, s engine.Spec, slower float64) []engine.Spec {
 	out := make([]engine.Spec, n)
 	for i := range out {
@@ -68,10 +68,10 @@
 	return out
 }
 
-// UnlikeEngines is the load of long prompts before engines of which a third is 4.4
-// times slower: figures of a hiring agency's model servers (steps of 2.6 ms and 0.12
-// for each request at 0.68 of that speed, 48 prompt tokens a ms, pieces of 2,048) and
-// of its contract drafts, chats and tags, with bursts to twice the usual traffic.
+// UnlikeEngines is a load of long prompts on engines of which a third is 4.4 times slower,
+// with bursts of up to twice the usual traffic. The figures are those of a hiring agency's
+// model servers (steps of 2.6 ms plus 0.12 ms for each request, scaled by 0.68; 48 prompt
+// tokens a ms; prefill chunks of 2,048 tokens) and of its contract drafts, chats and tags.
 func UnlikeEngines() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
@@ -81,20 +81,20 @@
 	return &Load{
 		Name: "unlike-engines",
 		Kinds: []Kind{
-			{Name: "drafts", Priority: 0, Share: 0.23, Prompt: 2500, PromptSpread: 1.4, PromptMost: 54_000, Output: 125, OutputSpread: 1.5, OutputMost: 3800, Aim: 1000 * ms, MaxPause: 500 * ms, Deadline: 15 * time.Second, Patience: 4 * time.Second},
-			{Name: "chats", Priority: 1, Share: 0.41, Prompt: 380, PromptSpread: 1, PromptMost: 3300, Output: 95, OutputSpread: 1.5, OutputMost: 2900, Aim: 500 * ms, MaxPause: 500 * ms, Deadline: 12 * time.Second, Patience: 4 * time.Second},
-			{Name: "tags", Priority: 2, Share: 0.36, Prompt: 770, PromptSpread: 1.3, PromptMost: 6900, Output: 7, OutputSpread: 1.5, OutputMost: 230, Aim: 600 * ms, MaxPause: 500 * ms, Deadline: 3 * time.Second, Patience: 3 * time.Second},
+			{Name: "drafts", Priority: 0, Share: 0.23, MedianPrompt: 2500, PromptSigma: 1.4, MaxPrompt: 54_000, MedianOutput: 125, OutputSigma: 1.5, MaxOutput: 3800, LatencyTarget: 1000 * ms, MaxPause: 500 * ms, Deadline: 15 * time.Second, CallerTimeout: 4 * time.Second},
+			{Name: "chats", Priority: 1, Share: 0.41, MedianPrompt: 380, PromptSigma: 1, MaxPrompt: 3300, MedianOutput: 95, OutputSigma: 1.5, MaxOutput: 2900, LatencyTarget: 500 * ms, MaxPause: 500 * ms, Deadline: 12 * time.Second, CallerTimeout: 4 * time.Second},
+			{Name: "tags", Priority: 2, Share: 0.36, MedianPrompt: 770, PromptSigma: 1.3, MaxPrompt: 6900, MedianOutput: 7, OutputSigma: 1.5, MaxOutput: 230, LatencyTarget: 600 * ms, MaxPause: 500 * ms, Deadline: 3 * time.Second, CallerTimeout: 3 * time.Second},
 		},
 		Engines:   fleet(9, fast, 4.4),
 		Rate:      48,
 		Bursts:    []Burst{{At: 4 * time.Second, For: 5 * time.Second, Times: 1.6}, {At: 15 * time.Second, For: 2500 * ms, Times: 1.8}},
-		Lasts:     25 * time.Second,
+		Length:    25 * time.Second,
 		HintError: 0.5,
 	}
 }
 
-// LongOverload is the same with twice the traffic for ten seconds and tags, whose
-// whole work is a tenth of the engines' time, in the last lane.
+// LongOverload is UnlikeEngines with a long burst of twice the traffic. The tags, in the
+// lowest priority queue, need only a tenth of the engines' time.
 func LongOverload() *Load {
 	l := UnlikeEngines()
 	l.Name = "long-overload"
@@ -102,11 +102,11 @@
 	return l
 }
 
-// LongAnswers is the load of a large fleet before many small engines: 156 of 4 slots, a
-// third of them 2.8 times slower, and a swap platform's appraisals, digests and chats. The
-// chats are the least urgent and generate more than half of all tokens; a tenth of them
-// is ten times as long as the middle. For ten seconds they come 2.4 times as often, in the
-// middle of bursts of everything.
+// LongAnswers is the load of a large fleet of small engines: 156 with 4 slots, a third of
+// them 2.8 times slower, with a swap platform's appraisals, digests and chats. The chats are
+// the least urgent and generate more than half of all output tokens; a tenth of them is ten
+// times as long as the median. For ten seconds they come 2.4 times as often, in the middle of
+// bursts of all kinds.
 func LongAnswers() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
@@ -116,21 +116,21 @@
 	return &Load{
 		Name: "long-answers",
 		Kinds: []Kind{
-			{Name: "appraisals", Priority: 0, Share: 0.34, Prompt: 1750, PromptSpread: 1, PromptMost: 18_300, Output: 17, OutputSpread: 1.5, OutputMost: 510, Aim: 800 * ms, MaxPause: 500 * ms, Deadline: 6 * time.Second, Patience: 4 * time.Second},
-			{Name: "digests", Priority: 1, Share: 0.40, Prompt: 770, PromptSpread: 1.3, PromptMost: 6870, Output: 7, OutputSpread: 1.5, OutputMost: 225, Aim: 800 * ms, MaxPause: 500 * ms, Deadline: 4 * time.Second, Patience: 4 * time.Second},
-			{Name: "chats", Priority: 2, Share: 0.26, Prompt: 365, PromptSpread: 0.9, PromptMost: 2310, Output: 91, OutputSpread: 1.5, OutputMost: 2790, Aim: 600 * ms, MaxPause: 500 * ms, Deadline: 15 * time.Second, Patience: 4 * time.Second},
+			{Name: "appraisals", Priority: 0, Share: 0.34, MedianPrompt: 1750, PromptSigma: 1, MaxPrompt: 18_300, MedianOutput: 17, OutputSigma: 1.5, MaxOutput: 510, LatencyTarget: 800 * ms, MaxPause: 500 * ms, Deadline: 6 * time.Second, CallerTimeout: 4 * time.Second},
+			{Name: "digests", Priority: 1, Share: 0.40, MedianPrompt: 770, PromptSigma: 1.3, MaxPrompt: 6870, MedianOutput: 7, OutputSigma: 1.5, MaxOutput: 225, LatencyTarget: 800 * ms, MaxPause: 500 * ms, Deadline: 4 * time.Second, CallerTimeout: 4 * time.Second},
+			{Name: "chats", Priority: 2, Share: 0.26, MedianPrompt: 365, PromptSigma: 0.9, MaxPrompt: 2310, MedianOutput: 91, OutputSigma: 1.5, MaxOutput: 2790, LatencyTarget: 600 * ms, MaxPause: 500 * ms, Deadline: 15 * time.Second, CallerTimeout: 4 * time.Second},
 		},
 		Engines:   fleet(156, fast, 2.8),
 		Rate:      1900,
 		Bursts:    []Burst{{At: 2 * time.Second, For: 5 * time.Second, Times: 1.6}, {At: 11 * time.Second, For: 4 * time.Second, Times: 1.9}},
-		Lasts:     20 * time.Second,
+		Length:    20 * time.Second,
 		HintError: 0.5,
 	}
 }
 
-// FewPlaces is a load of the same kinds, with fewer appraisals and more digests, before 90
-// engines of 6 slots. A calm day fills four fifths of their time; twice it comes more than
-// twice as often for many seconds, and the two urgent kinds alone fill them.
+// FewPlaces is a load of the same kinds, with fewer appraisals and more digests, on 90
+// engines of 6 slots. The usual rate takes four fifths of their time. Two bursts of several
+// seconds more than double it, so that the two urgent kinds alone take all of their time.
 func FewPlaces() *Load {
 	l := LongAnswers()
 	l.Name = "few-places"
@@ -142,9 +142,9 @@
 	l.Engines = fleet(90, fast, 2.8)
 	l.Rate = 602
 	l.Bursts = []Burst{{At: 3 * time.Second, For: 8 * time.Second, Times: 4.5}, {At: 16 * time.Second, For: 6 * time.Second, Times: 5}}
-	l.Lasts = 28 * time.Second
+	l.Length = 28 * time.Second
 	return l
 }
 
-// Loads lists the loads by name.
+// Loads returns all loads.
 func Loads() []*Load { return []*Load{UnlikeEngines(), LongOverload(), LongAnswers(), FewPlaces()} }
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -17,392 +17,400 @@
 
 // BadVersion is how the servers of a version misbehave. The zero value is a sound version.
 type BadVersion struct {
-	Fail   float64       // share of the answers that are failures
-	Slow   float64       // times as long, 0 or 1: as long as the others
-	After  time.Duration // since the order; sound before
-	Loaded bool          // only while most of a server's slots are taken
-	Route  string        // only on this route
+	FailShare  float64       // share of the answers that fail
+	Slowdown   float64       // factor of the response time; 0 and 1: none
+	BadAfter   time.Duration // time since the order until which it behaves as a sound version
+	OnlyLoaded bool          // bad only while most of a server's slots are in use
+	OnlyRoute  string        // bad only on this route; empty: on all
 }
 
-func (b BadVersion) bad() bool { return b.Fail > 0 || b.Slow > 1 }
+func (b BadVersion) bad() bool { return b.FailShare > 0 || b.Slowdown > 1 }
 
-// Rollout is a play of one roll-out: a service with old and new servers, its requests, and
-// troubles that have nothing to do with the version.
+// Rollout describes the simulation of a roll-out: a service with old and new servers, its
+// requests, and faults that are independent of the version.
 type Rollout struct {
 	Name    string
 	Servers int // of each version
 	Slots   int
-	Rate    float64 // requests a second over all routes
-	Lasts   time.Duration
+	Rate    float64       // requests a second over all routes
+	Length  time.Duration // time from the order to its deadline
 	Version BadVersion
-	// Own is the share of answers that fail on the first route whoever runs them.
-	Own float64
-	// Grey is the share of all servers that fail 0.4 of their answers from GreyAt on, Slow
-	// the share that is four times slower.
-	Grey, Slow float64
-	TroubleAt  time.Duration
-	// Crash is the share of all servers that end at CrashAt, and are back two seconds later
-	// as others.
-	Crash   float64
-	CrashAt time.Duration
-	Burst   *Burst
-	Bounds  rollout.Bounds
+	// FirstRouteFailShare is the share of answers on the first route that fail on all servers.
+	FirstRouteFailShare float64
+	// From FaultsAt after the order, GreyShare of all servers fail 0.4 of their answers, and
+	// SlowShare of them are four times slower.
+	GreyShare, SlowShare float64
+	FaultsAt             time.Duration
+	// CrashShare is the share of all servers that crash at CrashAt after the order. New
+	// servers replace them two seconds later.
+	CrashShare float64
+	CrashAt    time.Duration
+	Burst      *Burst
+	Bounds     rollout.Bounds
 }
 
-// routes of the rig: requests of the last may not be repeated.
+// rolloutRoutes are the routes of the simulated service. Requests on the last one must not be
+// repeated.
 var rolloutRoutes = []struct {
-	name       string
-	share      float64
-	work       time.Duration
-	repeatable bool
+	name        string
+	share       float64
+	serviceTime time.Duration // typical response time without load
+	repeatable  bool
 }{
 	{"check", 0.3, 25 * time.Millisecond, true},
 	{"report", 0.1, 120 * time.Millisecond, true},
 	{"confirm", 0.6, 30 * time.Millisecond, false},
 }
 
-// RolloutResult is how one roll-out went.
+// RolloutResult is the result of one simulated roll-out.
 type RolloutResult struct {
-	State   rollout.State
-	At      time.Duration // when it ended, since the order
-	Why     string
-	Reached int // requests sent to the service from the order to its deadline
-	Exposed int // of them, those sent to the new version
-	// Bad counts the new version's bad answers until the verdict; Late the requests sent to
-	// a bad version later than lateAfter behind its fiftieth bad answer.
+	State    rollout.State
+	Took     time.Duration // time from the order to the decision
+	Reason   string
+	Requests int // requests sent to servers from the order to its deadline
+	Exposed  int // of them, requests sent to the new version
+	// Bad counts the new version's bad answers before the decision, Late the requests sent to
+	// a bad version more than maxReactionTime after its fiftieth bad answer.
 	Bad, Late int
-	// Lost are runs that ended with the old servers and may not be repeated.
+	// Lost counts the requests that the stop of the old servers cut off and that must not be
+	// repeated.
 	Lost int
 }
 
-// Exposure is what the new version got, as a part of what a bad one may get.
+// Exposure returns the number of requests that the new version got as a fraction of the number
+// that the bounds allow for a bad version.
 func (r RolloutResult) Exposure(b rollout.Bounds) float64 {
-	return float64(r.Exposed) / (b.Share*float64(r.Reached) + b.Slack)
+	return float64(r.Exposed) / (b.Share*float64(r.Requests) + b.Slack)
 }
 
 const (
-	// orderAt is when the order comes, after the service has run for a while.
-	orderAt   = 3 * time.Second
-	lateAfter = 2500 * time.Millisecond
-	lateFrom  = 50
-	storeTime = 20 * time.Millisecond
-	greyFails = 0.4
-	slowBy    = 4
-	fullFrom  = 0.8 // of the slots
-	// speedSpread is how far servers' speeds lie from the middle, as a logarithm: the
-	// fastest is 2.8 times as fast as the slowest.
-	speedSpread = 0.52
+	// orderAt is the time of the order, after the service has run for a while.
+	orderAt = 3 * time.Second
+	// A bad version must get no requests maxReactionTime after its badAnswerLimit-th bad
+	// answer.
+	maxReactionTime = 2500 * time.Millisecond
+	badAnswerLimit  = 50
+	storeWriteTime  = 20 * time.Millisecond
+	greyFailShare   = 0.4
+	slowFactor      = 4
+	loadedFrom      = 0.8 // share of the slots in use
+	// maxLogSpeed limits the logarithm of a server's speed on both sides of the mean: the
+	// fastest server is 2.8 times as fast as the slowest.
+	maxLogSpeed = 0.52
 )
 
-// rolloutServer is a server of the rig.
+// rolloutServer is a simulated server.
 type rolloutServer struct {
-	spec    sched.Server
-	isNew   bool
-	speed   float64
-	running int
-	grey    bool
-	slow    bool
-	gone    bool
+	spec       sched.Server
+	isNew      bool
+	timeFactor float64 // factor of response times; above 1 is slower
+	running    int
+	grey       bool
+	slow       bool
+	stopped    bool
 }
 
-// rolloutDay is one play.
-type rolloutDay struct {
-	r       *Rollout
-	s       *sched.Scheduler
-	rng     *rand.Rand
-	agenda  agenda
-	seq     int
-	servers map[string]*rolloutServer
-	open    map[uint64]*rolloutRun
-	next    uint64
-	made    int
-	bad     int
-	fifty   time.Duration // when the fiftieth bad answer came
-	over    bool
-	out     RolloutResult
+// rolloutSimulation is one run of a roll-out in virtual time.
+type rolloutSimulation struct {
+	r          *Rollout
+	scheduler  *sched.Scheduler
+	rng        *rand.Rand
+	eventQueue eventQueue
+	seq        int
+	servers    map[string]*rolloutServer
+	open       map[uint64]*rolloutRequest
+	lastID     uint64
+	started    int
+	badAnswers int
+	badLimitAt time.Duration // time of the badAnswerLimit-th bad answer; 0 before
+	decided    bool          // the roll-out was completed or rolled back
+	result     RolloutResult
 }
 
-type rolloutRun struct {
+// rolloutRequest is a request of the simulation.
+type rolloutRequest struct {
 	route  int
 	server *rolloutServer
-	bad    bool
-	over   bool
+	bad    bool // failed or slow because of the new version
+	ended  bool // answered or cut off
 }
 
-// PlayRollout plays a roll-out; the same seed gives the same one.
-func PlayRollout(r *Rollout, seed uint64) RolloutResult {
-	d := &rolloutDay{
-		r: r, s: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
-		servers: map[string]*rolloutServer{}, open: map[uint64]*rolloutRun{},
+// SimulateRollout simulates a roll-out. The same seed gives the same result.
+func SimulateRollout(r *Rollout, seed uint64) RolloutResult {
+	sim := &rolloutSimulation{
+		r: r, scheduler: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
+		servers: map[string]*rolloutServer{}, open: map[uint64]*rolloutRequest{},
 	}
-	d.s.SetBounds(r.Bounds)
-	d.s.SetServices(0, []sched.Service{{Name: service}})
+	sim.scheduler.SetBounds(r.Bounds)
+	sim.scheduler.SetServices(0, []sched.Service{{Name: service}})
 	for range r.Servers {
-		d.start(false)
+		sim.startServer(false)
 	}
-	d.list(0)
-	d.at(0, d.arrive)
-	d.at(tick, d.pass)
-	d.at(orderAt, d.order)
-	if r.Grey > 0 || r.Slow > 0 {
-		d.at(orderAt+r.TroubleAt, d.trouble)
+	sim.updateServerList(0)
+	sim.schedule(0, sim.arrive)
+	sim.schedule(tickInterval, sim.tickScheduler)
+	sim.schedule(orderAt, sim.giveOrder)
+	if r.GreyShare > 0 || r.SlowShare > 0 {
+		sim.schedule(orderAt+r.FaultsAt, sim.injectFaults)
 	}
-	if r.Crash > 0 {
-		d.at(orderAt+r.CrashAt, d.crash)
+	if r.CrashShare > 0 {
+		sim.schedule(orderAt+r.CrashAt, sim.crashServers)
 	}
-	for d.agenda.Len() > 0 {
-		h := heap.Pop(&d.agenda).(happening)
-		h.do(h.at)
+	for sim.eventQueue.Len() > 0 {
+		ev := heap.Pop(&sim.eventQueue).(scheduledEvent)
+		ev.do(ev.at)
 	}
-	if !d.over {
-		d.out.State, d.out.At = rollout.Running, d.end()-orderAt
+	if !sim.decided {
+		sim.result.State, sim.result.Took = rollout.Running, sim.end()-orderAt
 	}
-	return d.out
+	return sim.result
 }
 
-// end is when the play ends: a while after the deadline.
-func (d *rolloutDay) end() time.Duration { return orderAt + d.r.Lasts + 5*time.Second }
+// end returns the time at which the simulation ends, a while after the deadline.
+func (sim *rolloutSimulation) end() time.Duration { return orderAt + sim.r.Length + 5*time.Second }
 
-func (d *rolloutDay) deadline() time.Duration { return orderAt + d.r.Lasts }
+func (sim *rolloutSimulation) deadline() time.Duration { return orderAt + sim.r.Length }
 
-func (d *rolloutDay) at(t time.Duration, do func(now time.Duration)) {
-	d.seq++
-	heap.Push(&d.agenda, happening{t, d.seq, do})
+func (sim *rolloutSimulation) schedule(at time.Duration, do func(now time.Duration)) {
+	sim.seq++
+	heap.Push(&sim.eventQueue, scheduledEvent{at, sim.seq, do})
 }
 
-func (d *rolloutDay) start(isNew bool) *rolloutServer {
-	d.made++
+func (sim *rolloutSimulation) startServer(isNew bool) *rolloutServer {
+	sim.started++
 	version := "v1"
 	if isNew {
 		version = "v2"
 	}
-	id := fmt.Sprintf("%s-%03d", version, d.made)
+	id := fmt.Sprintf("%s-%03d", version, sim.started)
 	srv := &rolloutServer{
-		spec:  sched.Server{ID: id, Service: service, Version: version, Address: id, Slots: d.r.Slots},
-		isNew: isNew, speed: math.Exp(speedSpread * (2*d.rng.Float64() - 1)),
+		spec:  sched.Server{ID: id, Service: service, Version: version, Address: id, Slots: sim.r.Slots},
+		isNew: isNew, timeFactor: math.Exp(maxLogSpeed * (2*sim.rng.Float64() - 1)),
 	}
-	d.servers[id] = srv
+	sim.servers[id] = srv
 	return srv
 }
 
-func (d *rolloutDay) list(now time.Duration) {
+func (sim *rolloutSimulation) updateServerList(now time.Duration) {
 	var list []sched.Server
-	for _, srv := range d.servers {
-		if !srv.gone {
+	for _, srv := range sim.servers {
+		if !srv.stopped {
 			list = append(list, srv.spec)
 		}
 	}
-	d.s.SetServers(now, list)
+	sim.scheduler.SetServers(now, list)
 }
 
-// order starts the new servers, gives the order, and has it taken up a moment later.
-func (d *rolloutDay) order(now time.Duration) {
-	for range d.r.Servers {
-		d.start(true)
+// giveOrder starts the new servers, gives the order, and starts its trial a moment later.
+func (sim *rolloutSimulation) giveOrder(now time.Duration) {
+	for range sim.r.Servers {
+		sim.startServer(true)
 	}
-	d.list(now)
-	o := rollout.Order{Service: service, To: "v2", Lasts: d.r.Lasts, Row: 1}
-	d.at(now+200*time.Millisecond, func(time.Duration) { d.s.SetOrder(o) })
-	d.at(now+250*time.Millisecond, func(now time.Duration) { d.s.StartTrial(now, o, 250*time.Millisecond, false) })
+	sim.updateServerList(now)
+	o := rollout.Order{Service: service, To: "v2", Lasts: sim.r.Length, Row: 1}
+	sim.schedule(now+200*time.Millisecond, func(time.Duration) { sim.scheduler.SetOrder(o) })
+	sim.schedule(now+250*time.Millisecond, func(now time.Duration) { sim.scheduler.StartTrial(now, o, 250*time.Millisecond, false) })
 }
 
-func (d *rolloutDay) trouble(time.Duration) {
-	for _, srv := range d.sorted() {
-		srv.grey = d.rng.Float64() < d.r.Grey
-		srv.slow = d.rng.Float64() < d.r.Slow
+func (sim *rolloutSimulation) injectFaults(time.Duration) {
+	for _, srv := range sim.serversByStart() {
+		srv.grey = sim.rng.Float64() < sim.r.GreyShare
+		srv.slow = sim.rng.Float64() < sim.r.SlowShare
 	}
 }
 
-// sorted lists the servers in the order of their start.
-func (d *rolloutDay) sorted() []*rolloutServer {
-	out := make([]*rolloutServer, d.made)
-	for _, srv := range d.servers {
+// serversByStart returns the servers in the order of their start.
+func (sim *rolloutSimulation) serversByStart() []*rolloutServer {
+	out := make([]*rolloutServer, sim.started)
+	for _, srv := range sim.servers {
 		var n int
 		if _, err := fmt.Sscanf(srv.spec.ID[3:], "%d", &n); err != nil {
-			panic(err) // ids of this rig end with their number
+			panic(err) // the IDs of simulated servers end with a number
 		}
 		out[n-1] = srv
 	}
 	return out
 }
 
-func (d *rolloutDay) crash(now time.Duration) {
-	for _, srv := range d.sorted() {
-		if srv.gone || d.rng.Float64() >= d.r.Crash {
+func (sim *rolloutSimulation) crashServers(now time.Duration) {
+	for _, srv := range sim.serversByStart() {
+		if srv.stopped || sim.rng.Float64() >= sim.r.CrashShare {
 			continue
 		}
-		d.stop(now, srv, sched.Ended)
+		sim.stopServer(now, srv, sched.Ended)
 		isNew := srv.isNew
-		d.at(now+2*time.Second, func(now time.Duration) {
-			if !d.over {
-				d.start(isNew)
-				d.list(now)
+		sim.schedule(now+2*time.Second, func(now time.Duration) {
+			if !sim.decided {
+				sim.startServer(isNew)
+				sim.updateServerList(now)
 			}
 		})
 	}
 }
 
-// stop ends a server with what it runs; its entry lapses later.
-func (d *rolloutDay) stop(now time.Duration, srv *rolloutServer, how sched.Result) {
-	srv.gone = true
-	for id, run := range d.open {
-		if run.server != srv || run.over {
+// stopServer stops a server and ends its requests with the given outcome. It stays listed until
+// its registration expires.
+func (sim *rolloutSimulation) stopServer(now time.Duration, srv *rolloutServer, outcome sched.Result) {
+	srv.stopped = true
+	for id, req := range sim.open {
+		if req.server != srv || req.ended {
 			continue
 		}
-		run.over = true
-		delete(d.open, id)
-		if !rolloutRoutes[run.route].repeatable && how == sched.Broken {
-			d.out.Lost++
+		req.ended = true
+		delete(sim.open, id)
+		if !rolloutRoutes[req.route].repeatable && outcome == sched.Broken {
+			sim.result.Lost++
 		}
-		d.apply(now, d.s.Finish(now, sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: how}))
+		sim.apply(now, sim.scheduler.Finish(now, sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: outcome}))
 	}
-	d.at(now+3600*time.Millisecond, d.list)
+	sim.schedule(now+3600*time.Millisecond, sim.updateServerList)
 }
 
-func (d *rolloutDay) pass(now time.Duration) {
-	d.apply(now, d.s.Tick(now))
-	d.news(now)
-	if now < d.end() {
-		d.at(now+tick, d.pass)
+func (sim *rolloutSimulation) tickScheduler(now time.Duration) {
+	sim.apply(now, sim.scheduler.Tick(now))
+	sim.processSteps(now)
+	if now < sim.end() {
+		sim.schedule(now+tickInterval, sim.tickScheduler)
 	}
 }
 
-// news takes the steps of the roll-out.
-func (d *rolloutDay) news(now time.Duration) {
-	for _, step := range d.s.RolloutNews() {
-		if d.over || step.Phase != rollout.Moved && step.Phase != rollout.TakenBack {
+// processSteps handles the decisions of the roll-out.
+func (sim *rolloutSimulation) processSteps(now time.Duration) {
+	for _, step := range sim.scheduler.RolloutNews() {
+		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.TakenBack {
 			continue
 		}
-		d.over = true
-		d.out.At, d.out.Why, d.out.Bad = now-orderAt, step.Why, d.bad
-		d.out.State = rollout.Completed
+		sim.decided = true
+		sim.result.Took, sim.result.Reason, sim.result.Bad = now-orderAt, step.Why, sim.badAnswers
+		sim.result.State = rollout.Completed
 		if step.Phase == rollout.TakenBack {
-			d.out.State = rollout.RolledBack
+			sim.result.State = rollout.RolledBack
 		}
-		d.at(now+storeTime, d.written)
+		sim.schedule(now+storeWriteTime, sim.applyDecision)
 	}
 }
 
-// written has the platform do what follows from the state.
-func (d *rolloutDay) written(now time.Duration) {
-	for _, srv := range d.sorted() {
+// applyDecision stops the old servers or drains the new ones, as the platform does once the
+// decision is in the store.
+func (sim *rolloutSimulation) applyDecision(now time.Duration) {
+	for _, srv := range sim.serversByStart() {
 		switch {
-		case d.out.State == rollout.Completed && !srv.isNew && !srv.gone:
-			d.stop(now, srv, sched.Broken)
-		case d.out.State == rollout.RolledBack && srv.isNew:
+		case sim.result.State == rollout.Completed && !srv.isNew && !srv.stopped:
+			sim.stopServer(now, srv, sched.Broken)
+		case sim.result.State == rollout.RolledBack && srv.isNew:
 			srv.spec.Draining = true
 		}
 	}
-	d.list(now)
+	sim.updateServerList(now)
 }
 
-func (d *rolloutDay) rate(now time.Duration) float64 {
-	rate := d.r.Rate
-	if b := d.r.Burst; b != nil && now >= orderAt+b.At && now < orderAt+b.At+b.For {
+func (sim *rolloutSimulation) rate(now time.Duration) float64 {
+	rate := sim.r.Rate
+	if b := sim.r.Burst; b != nil && now >= orderAt+b.At && now < orderAt+b.At+b.For {
 		rate *= b.Times
 	}
 	return rate
 }
 
-func (d *rolloutDay) arrive(now time.Duration) {
-	if next := now + time.Duration(d.rng.ExpFloat64()/d.rate(now)*float64(time.Second)); next < d.end() {
-		d.at(next, d.arrive)
+func (sim *rolloutSimulation) arrive(now time.Duration) {
+	if next := now + time.Duration(sim.rng.ExpFloat64()/sim.rate(now)*float64(time.Second)); next < sim.end() {
+		sim.schedule(next, sim.arrive)
 	}
-	route, x := 0, d.rng.Float64()
+	route, x := 0, sim.rng.Float64()
 	for route = range rolloutRoutes {
 		if x -= rolloutRoutes[route].share; x < 0 {
 			break
 		}
 	}
-	d.next++
-	id := d.next
-	d.open[id] = &rolloutRun{route: route}
-	out, _ := d.s.Submit(now, sched.Request{
+	sim.lastID++
+	id := sim.lastID
+	sim.open[id] = &rolloutRequest{route: route}
+	out, _ := sim.scheduler.Submit(now, sched.Request{
 		Key: sched.Key{Holder: holder, ID: id}, Service: service, Arrived: now, Aim: now + 150*time.Millisecond,
 		Deadline: now + time.Second, Route: rolloutRoutes[route].name, Repeatable: rolloutRoutes[route].repeatable,
 	})
-	d.apply(now, out)
+	sim.apply(now, out)
 }
 
-func (d *rolloutDay) apply(now time.Duration, out []sched.Decision) {
+func (sim *rolloutSimulation) apply(now time.Duration, out []sched.Decision) {
 	for _, one := range out {
-		run := d.open[one.ID]
-		if run == nil {
+		req := sim.open[one.ID]
+		if req == nil {
 			continue
 		}
 		if one.Reason != 0 {
-			delete(d.open, one.ID)
+			delete(sim.open, one.ID)
 			continue
 		}
-		run.server = d.servers[one.Server]
-		d.sent(now, one.ID, run)
+		req.server = sim.servers[one.Server]
+		sim.execute(now, one.ID, req)
 	}
 }
 
-// sent runs a request at its server.
-func (d *rolloutDay) sent(now time.Duration, id uint64, run *rolloutRun) {
-	srv := run.server
-	if now >= orderAt && now < d.deadline() {
-		d.out.Reached++
+// execute runs a request on its server.
+func (sim *rolloutSimulation) execute(now time.Duration, id uint64, req *rolloutRequest) {
+	srv := req.server
+	if now >= orderAt && now < sim.deadline() {
+		sim.result.Requests++
 		if srv.isNew {
-			d.out.Exposed++
+			sim.result.Exposed++
 		}
 	}
-	if srv.isNew && d.r.Version.bad() && d.fifty > 0 && now > d.fifty+lateAfter {
-		d.out.Late++
+	if srv.isNew && sim.r.Version.bad() && sim.badLimitAt > 0 && now > sim.badLimitAt+maxReactionTime {
+		sim.result.Late++
 	}
 	srv.running++
-	work := rolloutRoutes[run.route].work
-	takes := float64(work) * srv.speed * math.Exp(0.3*d.rng.NormFloat64()) * (1 + 0.3*float64(srv.running)/float64(d.r.Slots))
+	serviceTime := rolloutRoutes[req.route].serviceTime
+	responseTime := float64(serviceTime) * srv.timeFactor * math.Exp(0.3*sim.rng.NormFloat64()) * (1 + 0.3*float64(srv.running)/float64(sim.r.Slots))
 	if srv.slow {
-		takes *= slowBy
+		responseTime *= slowFactor
 	}
-	fails := run.route == 0 && d.rng.Float64() < d.r.Own || srv.grey && d.rng.Float64() < greyFails
-	if srv.isNew && d.misbehaves(now, srv, run.route) {
-		run.bad = d.rng.Float64() < d.r.Version.Fail
-		fails = fails || run.bad
-		if d.r.Version.Slow > 1 {
-			takes *= d.r.Version.Slow
-			run.bad = true
+	fails := req.route == 0 && sim.rng.Float64() < sim.r.FirstRouteFailShare || srv.grey && sim.rng.Float64() < greyFailShare
+	if srv.isNew && sim.misbehaves(now, srv, req.route) {
+		req.bad = sim.rng.Float64() < sim.r.Version.FailShare
+		fails = fails || req.bad
+		if sim.r.Version.Slowdown > 1 {
+			responseTime *= sim.r.Version.Slowdown
+			req.bad = true
 		}
 	}
-	d.at(now+time.Duration(takes), func(now time.Duration) { d.answered(now, id, run, fails, time.Duration(takes)) })
+	sim.schedule(now+time.Duration(responseTime), func(now time.Duration) { sim.answered(now, id, req, fails, time.Duration(responseTime)) })
 }
 
-func (d *rolloutDay) misbehaves(now time.Duration, srv *rolloutServer, route int) bool {
-	v := d.r.Version
-	return now >= orderAt+v.After && (v.Route == "" || v.Route == rolloutRoutes[route].name) &&
-		(!v.Loaded || float64(srv.running) >= fullFrom*float64(d.r.Slots))
+func (sim *rolloutSimulation) misbehaves(now time.Duration, srv *rolloutServer, route int) bool {
+	v := sim.r.Version
+	return now >= orderAt+v.BadAfter && (v.OnlyRoute == "" || v.OnlyRoute == rolloutRoutes[route].name) &&
+		(!v.OnlyLoaded || float64(srv.running) >= loadedFrom*float64(sim.r.Slots))
 }
 
-func (d *rolloutDay) answered(now time.Duration, id uint64, run *rolloutRun, fails bool, took time.Duration) {
-	if run.over {
+func (sim *rolloutSimulation) answered(now time.Duration, id uint64, req *rolloutRequest, fails bool, responseTime time.Duration) {
+	if req.ended {
 		return
 	}
-	run.over = true
-	run.server.running--
-	delete(d.open, id)
-	if run.bad {
-		if d.bad++; d.bad == lateFrom {
-			d.fifty = now
+	req.ended = true
+	req.server.running--
+	delete(sim.open, id)
+	if req.bad {
+		if sim.badAnswers++; sim.badAnswers == badAnswerLimit {
+			sim.badLimitAt = now
 		}
 	}
-	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: took}
+	o := sched.Outcome{Key: sched.Key{Holder: holder, ID: id}, Result: sched.OK, First: responseTime}
 	if fails {
 		o.Result = sched.Errored
-		if rolloutRoutes[run.route].repeatable {
+		if rolloutRoutes[req.route].repeatable {
 			o.Result = sched.Unblamed
 		}
 	}
-	d.apply(now, d.s.Finish(now, o))
-	d.news(now)
+	sim.apply(now, sim.scheduler.Finish(now, o))
+	sim.processSteps(now)
 }
 
-// Rollouts lists roll-outs by name: sound versions, alone and with troubles that both
-// versions have, and versions that are bad in each way.
+// Rollouts returns all roll-outs, sorted by name: sound versions, with and without faults that
+// affect both versions, and versions with each kind of defect.
 func Rollouts() []*Rollout {
-	// Three plain servers at a few hundred calls a second, and thirty at some thousand.
-	few := Rollout{Servers: 3, Slots: 6, Rate: 250, Lasts: 12 * time.Second, Bounds: rollout.Bounds{Share: 0.1, Slack: 50}}
+	// Three plain servers at 250 calls a second, and thirty at 2,000.
+	few := Rollout{Servers: 3, Slots: 6, Rate: 250, Length: 12 * time.Second, Bounds: rollout.Bounds{Share: 0.1, Slack: 50}}
 	many := few
 	many.Servers, many.Rate = 30, 2000
 	var out []*Rollout
@@ -414,56 +422,56 @@
 			out = append(out, &r)
 		}
 		add("sound", func(*Rollout) {})
-		add("sound-own-failures", func(r *Rollout) { r.Own = 0.14 })
-		add("sound-grey", func(r *Rollout) { r.Grey, r.TroubleAt = 0.15, 2*time.Second })
-		add("sound-slow", func(r *Rollout) { r.Slow, r.TroubleAt = 0.15, 2*time.Second })
-		add("sound-crashes", func(r *Rollout) { r.Crash, r.CrashAt = 0.3, 4*time.Second })
+		add("sound-own-failures", func(r *Rollout) { r.FirstRouteFailShare = 0.14 })
+		add("sound-grey", func(r *Rollout) { r.GreyShare, r.FaultsAt = 0.15, 2*time.Second })
+		add("sound-slow", func(r *Rollout) { r.SlowShare, r.FaultsAt = 0.15, 2*time.Second })
+		add("sound-crashes", func(r *Rollout) { r.CrashShare, r.CrashAt = 0.3, 4*time.Second })
 		add("sound-burst", func(r *Rollout) { r.Burst = &Burst{At: 3 * time.Second, For: 4 * time.Second, Times: 4} })
 		for _, share := range []float64{0.05, 0.2, 0.5} {
-			part := fmt.Sprintf("fails-%.0f", 100*share)
-			add(part, func(r *Rollout) { r.Version.Fail = share })
-			add(part+"-later", func(r *Rollout) { r.Version.Fail, r.Version.After = share, 6*time.Second })
-			add(part+"-loaded", func(r *Rollout) { r.Version.Fail, r.Version.Loaded = share, true })
-			add(part+"-one-route", func(r *Rollout) { r.Version.Fail, r.Version.Route = share, "report" })
-			add(part+"-grey", func(r *Rollout) { r.Version.Fail, r.Grey = share, 0.15 })
+			prefix := fmt.Sprintf("fails-%.0f", 100*share)
+			add(prefix, func(r *Rollout) { r.Version.FailShare = share })
+			add(prefix+"-later", func(r *Rollout) { r.Version.FailShare, r.Version.BadAfter = share, 6*time.Second })
+			add(prefix+"-loaded", func(r *Rollout) { r.Version.FailShare, r.Version.OnlyLoaded = share, true })
+			add(prefix+"-one-route", func(r *Rollout) { r.Version.FailShare, r.Version.OnlyRoute = share, "report" })
+			add(prefix+"-grey", func(r *Rollout) { r.Version.FailShare, r.GreyShare = share, 0.15 })
 		}
 		for _, times := range []float64{2, 3, 5} {
-			part := fmt.Sprintf("slower-%.0f", times)
-			add(part, func(r *Rollout) { r.Version.Slow = times })
-			add(part+"-later", func(r *Rollout) { r.Version.Slow, r.Version.After = times, 6*time.Second })
-			add(part+"-loaded", func(r *Rollout) { r.Version.Slow, r.Version.Loaded = times, true })
+			prefix := fmt.Sprintf("slower-%.0f", times)
+			add(prefix, func(r *Rollout) { r.Version.Slowdown = times })
+			add(prefix+"-later", func(r *Rollout) { r.Version.Slowdown, r.Version.BadAfter = times, 6*time.Second })
+			add(prefix+"-loaded", func(r *Rollout) { r.Version.Slowdown, r.Version.OnlyLoaded = times, true })
 		}
 	}
 	slices.SortFunc(out, func(a, b *Rollout) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// RolloutSum is what came of many plays of one roll-out.
+// RolloutSum summarizes many runs of one roll-out.
 type RolloutSum struct {
-	Plays                          int
+	Runs                           int
 	Completed, RolledBack, Running int
-	Exposure, MostExposure         float64 // the middle and the most, as parts of what is allowed
-	Ended                          time.Duration
-	Bad                            int // most bad answers before a verdict
+	Exposure, MostExposure         float64       // median and maximum of RolloutResult.Exposure
+	Ended                          time.Duration // median time from the order to the decision
+	Bad                            int           // maximum number of bad answers before the decision
 	Late, Lost                     int
 }
 
-// SumRollouts plays a roll-out with many seeds, on all processors.
+// SumRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
 func SumRollouts(r *Rollout, seeds int) RolloutSum {
 	results := make([]RolloutResult, seeds)
-	var plays sync.WaitGroup
-	turns := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for seed := range seeds {
-		plays.Go(func() {
-			turns <- struct{}{}
-			results[seed] = PlayRollout(r, uint64(seed))
-			<-turns
+		running.Go(func() {
+			slots <- struct{}{}
+			results[seed] = SimulateRollout(r, uint64(seed))
+			<-slots
 		})
 	}
-	plays.Wait()
-	sum := RolloutSum{Plays: seeds}
+	running.Wait()
+	sum := RolloutSum{Runs: seeds}
 	var exposures []float64
-	var ends []time.Duration
+	var times []time.Duration
 	for _, one := range results {
 		switch one.State {
 		case rollout.Completed:
@@ -474,13 +482,13 @@
 			sum.Running++
 		}
 		exposures = append(exposures, one.Exposure(r.Bounds))
-		ends = append(ends, one.At)
+		times = append(times, one.Took)
 		sum.Bad = max(sum.Bad, one.Bad)
 		sum.Late += one.Late
 		sum.Lost += one.Lost
 	}
 	slices.Sort(exposures)
-	slices.Sort(ends)
-	sum.Exposure, sum.MostExposure, sum.Ended = exposures[seeds/2], exposures[seeds-1], ends[seeds/2]
+	slices.Sort(times)
+	sum.Exposure, sum.MostExposure, sum.Ended = exposures[seeds/2], exposures[seeds-1], times[seeds/2]
 	return sum
 }
