--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,71 +1,72 @@
-// Package engine emulates a model engine in virtual time: a batch that grows with
-// the requests in it, prompts read in pieces between the tokens of the others. It
-// reads no clock; its owner steps it.
+// Package engine emulates a model engine with continuous batching and chunked prefill
+// in virtual time: the step time grows with the number of requests in the batch and
+// with the prompt tokens that are prefilled. The package reads no clock; its caller
+// advances the engine step by step.
 package engine
 
 import "time"
 
-// Time is a moment on the owner's virtual clock.
+// Time is a time on the caller's virtual clock.
 type Time = time.Duration
 
-// Spec describes an engine.
+// Spec holds the parameters of an engine.
 type Spec struct {
-	Slots      int           // requests in the batch at once
-	Step       time.Duration // for one token of every request in the batch
-	StepPerRun time.Duration // more for each request in the batch
-	Read       time.Duration // of one prompt token
-	Piece      int           // prompt tokens read in one step at most, over all requests
-	Stride     int           // output tokens in one event
+	Slots           int           // maximum number of requests in the batch
+	Step            time.Duration // step time for one output token of every request in the batch
+	StepPerRequest  time.Duration // additional step time for each request in the batch
+	PrefillPerToken time.Duration // additional step time for each prompt token
+	PrefillChunk    int           // maximum number of prompt tokens in a step, over all requests
+	TokensPerEvent  int           // output tokens in one event of a stream
 }
 
-// Slower is the same engine with everything taking x times as long.
+// Slower returns the spec of an engine on which everything takes x times as long.
 func (s Spec) Slower(x float64) Spec {
 	scale := func(d time.Duration) time.Duration { return time.Duration(float64(d) * x) }
-	s.Step, s.StepPerRun, s.Read = scale(s.Step), scale(s.StepPerRun), scale(s.Read)
+	s.Step, s.StepPerRequest, s.PrefillPerToken = scale(s.Step), scale(s.StepPerRequest), scale(s.PrefillPerToken)
 	return s
 }
 
-// Event is an event of a stream, the last one when Ended is set.
+// Event is an event of a stream. Ended is set on the last one.
 type Event struct {
 	ID    uint64
 	First bool
 	Ended bool
 }
 
-// run is a request at the engine.
-type run struct {
-	id     uint64
-	unread int // prompt tokens
-	left   int // output tokens
-	made   int
+// request is a request that waits or runs.
+type request struct {
+	id         uint64
+	promptLeft int // prompt tokens left to prefill
+	outputLeft int // output tokens left to generate
+	generated  int // output tokens
 }
 
-// Engine works on requests in the order of their arrival. Its owner alone uses it.
+// Engine admits requests in the order of their arrival. It is not safe for concurrent use.
 type Engine struct {
-	spec    Spec
-	waiting []*run
-	batch   []*run
-	ends    Time // of the step in progress
-	busy    bool
-	reading int // prompt tokens of the step in progress
+	spec        Spec
+	waiting     []*request
+	batch       []*request
+	stepEnd     Time // end of the step in progress
+	busy        bool
+	stepPrefill int // prompt tokens prefilled in the step in progress
 }
 
-// New makes an idle engine.
+// New returns an idle engine.
 func New(s Spec) *Engine { return &Engine{spec: s} }
 
-// Submit brings a request.
+// Submit adds a request with its numbers of prompt and output tokens.
 func (e *Engine) Submit(now Time, id uint64, prompt, output int) {
-	e.waiting = append(e.waiting, &run{id: id, unread: max(1, prompt), left: max(1, output)})
+	e.waiting = append(e.waiting, &request{id: id, promptLeft: max(1, prompt), outputLeft: max(1, output)})
 	if !e.busy {
-		e.begin(now)
+		e.startStep(now)
 	}
 }
 
-// Next is when the step in progress ends; ok is false when there is none.
-func (e *Engine) Next() (at Time, ok bool) { return e.ends, e.busy }
+// StepEnd returns the time at which the step in progress ends. ok is false if the engine is idle.
+func (e *Engine) StepEnd() (at Time, ok bool) { return e.stepEnd, e.busy }
 
-// begin admits what fits into the batch and starts a step.
-func (e *Engine) begin(now Time) {
+// startStep fills the batch with waiting requests and starts a step.
+func (e *Engine) startStep(now Time) {
 	for len(e.waiting) > 0 && len(e.batch) < e.spec.Slots {
 		e.batch, e.waiting = append(e.batch, e.waiting[0]), e.waiting[1:]
 	}
@@ -73,35 +74,35 @@
 	if !e.busy {
 		return
 	}
-	unread := 0
+	promptLeft := 0
 	for _, r := range e.batch {
-		unread += r.unread
+		promptLeft += r.promptLeft
 	}
-	e.reading = min(unread, e.spec.Piece)
-	e.ends = now + e.spec.Step + time.Duration(len(e.batch))*e.spec.StepPerRun + time.Duration(e.reading)*e.spec.Read
+	e.stepPrefill = min(promptLeft, e.spec.PrefillChunk)
+	e.stepEnd = now + e.spec.Step + time.Duration(len(e.batch))*e.spec.StepPerRequest + time.Duration(e.stepPrefill)*e.spec.PrefillPerToken
 }
 
 // Step ends the step in progress, returns its events and starts the next one.
 func (e *Engine) Step() []Event {
 	var events []Event
-	now, budget := e.ends, e.reading
-	kept := e.batch[:0]
+	now, budget := e.stepEnd, e.stepPrefill
+	remaining := e.batch[:0]
 	for _, r := range e.batch {
-		read := min(budget, r.unread)
-		r.unread -= read
-		budget -= read
-		if r.unread == 0 {
-			r.left--
-			r.made++
-			if ended := r.left == 0; ended || r.made%e.spec.Stride == 0 {
-				events = append(events, Event{ID: r.id, First: r.made <= e.spec.Stride, Ended: ended})
+		prefilled := min(budget, r.promptLeft)
+		r.promptLeft -= prefilled
+		budget -= prefilled
+		if r.promptLeft == 0 {
+			r.outputLeft--
+			r.generated++
+			if ended := r.outputLeft == 0; ended || r.generated%e.spec.TokensPerEvent == 0 {
+				events = append(events, Event{ID: r.id, First: r.generated <= e.spec.TokensPerEvent, Ended: ended})
 			}
 		}
-		if r.left > 0 {
-			kept = append(kept, r)
+		if r.outputLeft > 0 {
+			remaining = append(remaining, r)
 		}
 	}
-	e.batch = kept
-	e.begin(now)
+	e.batch = remaining
+	e.startStep(now)
 	return events
 }
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -118,7 +118,7 @@
 		engines: map[string]*engine.Engine{}, stepScheduled: map[string]bool{}, open: map[uint64]*request{},
 		outcomes: make([]Outcome, len(l.Kinds)),
 	}
-	sim.scheduler.SetServices(0, []sched.Service{{Name: service, Engine: true, Stride: l.Engines[0].Stride}})
+	sim.scheduler.SetServices(0, []sched.Service{{Name: service, Engine: true, Stride: l.Engines[0].TokensPerEvent}})
 	var list []sched.Server
 	for i, spec := range l.Engines {
 		id := fmt.Sprintf("e%02d", i)
@@ -241,7 +241,7 @@
 
 // scheduleStep schedules the end of the server's step in progress.
 func (sim *simulation) scheduleStep(server string) {
-	at, busy := sim.engines[server].Next()
+	at, busy := sim.engines[server].StepEnd()
 	if !busy || sim.stepScheduled[server] {
 		return
 	}
@@ -296,8 +296,8 @@
 		o.Result = sched.Left
 	}
 	if r.eventCount > 2 {
-		stride := sim.load.Engines[0].Stride
-		o.Pace = (now - r.placedAt - r.firstEvent) / time.Duration((r.eventCount-1)*stride)
+		tokensPerEvent := sim.load.Engines[0].TokensPerEvent
+		o.Pace = (now - r.placedAt - r.firstEvent) / time.Duration((r.eventCount-1)*tokensPerEvent)
 	}
 	sim.apply(now, sim.scheduler.Finish(now, o))
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -75,8 +75,8 @@
 func UnlikeEngines() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
-		Slots: 8, Step: 1770 * time.Microsecond, StepPerRun: 82 * time.Microsecond,
-		Read: 14 * time.Microsecond, Piece: 2048, Stride: 6,
+		Slots: 8, Step: 1770 * time.Microsecond, StepPerRequest: 82 * time.Microsecond,
+		PrefillPerToken: 14 * time.Microsecond, PrefillChunk: 2048, TokensPerEvent: 6,
 	}
 	return &Load{
 		Name: "unlike-engines",
@@ -110,8 +110,8 @@
 func LongAnswers() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
-		Slots: 4, Step: 3690 * time.Microsecond, StepPerRun: 21 * time.Microsecond,
-		Read: 15 * time.Microsecond, Piece: 4096, Stride: 3,
+		Slots: 4, Step: 3690 * time.Microsecond, StepPerRequest: 21 * time.Microsecond,
+		PrefillPerToken: 15 * time.Microsecond, PrefillChunk: 4096, TokensPerEvent: 3,
 	}
 	return &Load{
 		Name: "long-answers",
@@ -135,7 +135,7 @@
 	l := LongAnswers()
 	l.Name = "few-places"
 	fast := l.Engines[0]
-	fast.Slots, fast.Stride = 6, 4
+	fast.Slots, fast.TokensPerEvent = 6, 4
 	for k, share := range []float64{0.26, 0.55, 0.19} {
 		l.Kinds[k].Share = share
 	}
