--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -7,16 +7,16 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Compare writes a table of two reports of the same work. It fails with
-// BadSetting when the work differs: a comparison would say nothing.
+// Compare writes a table of two reports of the same load and seed. It fails with
+// BadSetting if load or seed differ, because the results are not comparable then.
 func Compare(w io.Writer, a, b *Result) error {
-	if err := sameWork(a, b); err != nil {
+	if err := checkComparable(a, b); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(w, "%-27s %9s %23s %23s\n", "", "", a.Label, b.Label)
 	_, _ = fmt.Fprintf(w, "%-27s %9s %7s %7s %7s %7s %7s %7s\n", "kind", "sent", "worth", "served", "refused", "worth", "served", "refused")
 	for i, k := range a.Load.Kinds {
-		_, _ = fmt.Fprintf(w, "%-27s %9d", k.Name, a.Kinds[i].all())
+		_, _ = fmt.Fprintf(w, "%-27s %9d", k.Name, a.Kinds[i].total())
 		for _, t := range []*Tally{a.Kinds[i], b.Kinds[i]} {
 			_, _ = fmt.Fprintf(w, " %7.3f %7.3f %7.3f", t.worth(), t.share(InTime)+t.share(Late), t.share(Refused))
 		}
@@ -27,15 +27,15 @@
 }
 
 func (t *Tally) share(end End) float64 {
-	if t.all() == 0 {
+	if t.total() == 0 {
 		return 0
 	}
-	return float64(t.Ends[end]) / float64(t.all())
+	return float64(t.Ends[end]) / float64(t.total())
 }
 
-func sameWork(a, b *Result) error {
+func checkComparable(a, b *Result) error {
 	if a.Seed != b.Seed || fmt.Sprint(a.Load) != fmt.Sprint(b.Load) {
-		return failure.New(failure.BadSetting, "the reports are of other work: seeds %d and %d, or another load", a.Seed, b.Seed)
+		return failure.New(failure.BadSetting, "the reports are not comparable: seeds %d and %d, or different loads", a.Seed, b.Seed)
 	}
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "lab")
 }
 
-const small = `
+const loadText = `
 rate: 50
 length: 4s
 bursts: [{at: 1s, for: 1s, times: 4}]
@@ -27,15 +27,15 @@
   - {name: bulk, path: /b, share: 0.6, aim: 100ms, deadline: 1s, worth: 1}
 `
 
-func parsed() Load {
-	l, err := ParseLoad([]byte(small))
+func testLoad() Load {
+	l, err := ParseLoad([]byte(loadText))
 	Expect(err).NotTo(HaveOccurred())
 	return l
 }
 
-// ran is a report in which every n-th request was late.
-func ran(label string, seed uint64, n int) *Result {
-	l := parsed()
+// report returns a report in which every n-th request was late.
+func report(label string, seed uint64, n int) *Result {
+	l := testLoad()
 	r := NewResult(label, seed, l)
 	for i, q := range l.Draw(seed) {
 		if i%n == 0 {
@@ -48,14 +48,14 @@
 }
 
 var _ = Describe("a load", func() {
-	It("gives the same requests for the same seed, and others for another", func() {
-		l := parsed()
+	It("gives the same requests for the same seed and different ones for another seed", func() {
+		l := testLoad()
 		Expect(l.Draw(7)).To(Equal(l.Draw(7)))
 		Expect(l.Draw(7)).NotTo(Equal(l.Draw(8)))
 	})
 
-	It("asks more in a burst, and by the shares", func() {
-		l := parsed()
+	It("has a higher rate in a burst and follows the shares", func() {
+		l := testLoad()
 		l.Length = time.Minute
 		inBurst, urgent := 0, 0
 		requests := l.Draw(1)
@@ -73,19 +73,19 @@
 		Expect(float64(urgent) / float64(len(requests))).To(BeNumerically("~", 0.4, 0.05))
 	})
 
-	DescribeTable("says what is wrong with its file",
-		func(text, says string) {
+	DescribeTable("reports what is wrong with a load file",
+		func(text, message string) {
 			_, err := ParseLoad([]byte(text))
 			Expect(failure.Is(err, failure.BadSetting)).To(BeTrue())
-			Expect(err.Error()).To(ContainSubstring(says))
+			Expect(err.Error()).To(ContainSubstring(message))
 		},
-		Entry("nothing in it", "rate: 1", "needs a rate, a length and kinds"),
-		Entry("a misspelled field", "rat: 1", "rat"),
+		Entry("required fields missing", "rate: 1", "needs a rate, a length and kinds"),
+		Entry("misspelled field", "rat: 1", "rat"),
 		Entry("shares", "rate: 1\nlength: 1s\nkinds: [{name: a, path: /a, share: 0.5, aim: 1s, deadline: 1s}]", "add up to 0.500"),
-		Entry("a kind without a deadline", "rate: 1\nlength: 1s\nkinds: [{name: a, path: /a, share: 1, aim: 1s}]", `kind "a" needs`),
+		Entry("kind without a deadline", "rate: 1\nlength: 1s\nkinds: [{name: a, path: /a, share: 1, aim: 1s}]", `kind "a" needs`),
 	)
 
-	It("is what the files of the repository hold", func() {
+	It("can be read from every load file of the repository", func() {
 		files, err := filepath.Glob("../../traces/loads/*.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).NotTo(BeEmpty())
@@ -97,9 +97,9 @@
 })
 
 var _ = Describe("reports", func() {
-	It("come back from their file as they were", func() {
+	It("are the same after writing and reading", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "a.json")
-		r := ran("a", 1, 4)
+		r := report("a", 1, 4)
 		Expect(r.Write(path)).To(Succeed())
 		back, err := ReadResult(path)
 		Expect(err).NotTo(HaveOccurred())
@@ -107,18 +107,18 @@
 		Expect(back.Kinds[0].First["p99"]).To(BeNumerically("~", 300, 5))
 	})
 
-	It("are compared on the same work only", func() {
+	It("are compared only if load and seed are the same", func() {
 		var out bytes.Buffer
-		a, b := ran("before", 1, 2), ran("after", 1, 10)
+		a, b := report("before", 1, 2), report("after", 1, 10)
 		Expect(Compare(&out, a, b)).To(Succeed())
 		Expect(out.String()).To(And(ContainSubstring("urgent"), ContainSubstring("before"), ContainSubstring("after")))
 		Expect(b.Worth()).To(BeNumerically(">", a.Worth()))
-		Expect(failure.Is(Compare(&out, a, ran("other", 2, 2)), failure.BadSetting)).To(BeTrue())
+		Expect(failure.Is(Compare(&out, a, report("other", 2, 2)), failure.BadSetting)).To(BeTrue())
 	})
 
-	It("are drawn", func() {
+	It("are plotted", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "worth.svg")
-		Expect(Plot(path, ran("before", 1, 2), ran("after", 1, 10))).To(Succeed())
+		Expect(Plot(path, report("before", 1, 2), report("after", 1, 10))).To(Succeed())
 		text, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(text)).To(And(ContainSubstring("<svg"), ContainSubstring("before: urgent")))
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,6 +1,6 @@
-// Package lab is the arithmetic of experiments: loads described in files and
-// drawn from a seed, reports of what came of them, and comparisons of reports of
-// two builds or policies. Sending the load is gentianlab's.
+// Package lab generates loads for experiments from a description and a seed,
+// records their results in reports, and compares reports of two builds or
+// policies. The command gentianlab sends the load.
 package lab
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Load describes what callers ask, as its file does.
+// Load describes the requests of callers, as read from a load file.
 type Load struct {
 	Rate   float64       `yaml:"rate"` // requests a second outside bursts
 	Length time.Duration `yaml:"length"`
@@ -22,7 +22,7 @@
 	Kinds  []Kind        `yaml:"kinds"`
 }
 
-// Burst multiplies the rate for a while.
+// Burst multiplies the request rate for a while.
 type Burst struct {
 	At    time.Duration `yaml:"at"` // from the start of the load
 	For   time.Duration `yaml:"for"`
@@ -35,14 +35,14 @@
 	Path     string        `yaml:"path"`
 	Share    float64       `yaml:"share"` // of all requests; the shares add up to 1
 	Body     string        `yaml:"body"`
-	Prompt   Size          `yaml:"prompt"` // tokens; a plain call has none
+	Prompt   Size          `yaml:"prompt"` // tokens; none for a plain call
 	Output   Size          `yaml:"output"` // tokens
-	Aim      time.Duration `yaml:"aim"`    // latency objective: first event, or whole answer
+	Aim      time.Duration `yaml:"aim"`    // latency target of the first event, or of the whole answer of a plain call
 	Deadline time.Duration `yaml:"deadline"`
-	Worth    float64       `yaml:"worth"` // of an answer in time; one that is late counts LateWorth of it
+	Worth    float64       `yaml:"worth"` // value of an answer in time; a late answer counts LateWorth times this
 }
 
-// Size is an even draw between two numbers.
+// Size is a range from which sizes are drawn with equal probability, bounds included.
 type Size struct {
 	Least int `yaml:"least"`
 	Most  int `yaml:"most"`
@@ -55,11 +55,11 @@
 	return s.Least + rng.IntN(s.Most-s.Least+1)
 }
 
-// shareSlack is how far the shares may add up beside 1, for rounding.
-const shareSlack = 0.001
+// shareTolerance is how far the sum of the shares may differ from 1, for rounding.
+const shareTolerance = 0.001
 
-// ReadLoad reads a load from a YAML file. It fails with BadSetting and names
-// what is wrong.
+// ReadLoad reads a load from a YAML file. It fails with BadSetting and
+// states what is wrong.
 func ReadLoad(path string) (Load, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return ParseLoad(text)
 }
 
-// ParseLoad reads a load; unknown fields are errors, since they are misspelled.
+// ParseLoad parses a load from YAML. It rejects unknown fields, as they are likely misspelled.
 func ParseLoad(text []byte) (Load, error) {
 	var l Load
 	d := yaml.NewDecoder(bytes.NewReader(text))
@@ -90,7 +90,7 @@
 		}
 		sum += k.Share
 	}
-	if sum < 1-shareSlack || sum > 1+shareSlack {
+	if sum < 1-shareTolerance || sum > 1+shareTolerance {
 		return failure.New(failure.BadSetting, "the shares of the kinds add up to %.3f, not to 1", sum)
 	}
 	for _, b := range l.Bursts {
@@ -103,14 +103,15 @@
 
 // Request is one request of a load.
 type Request struct {
-	At     time.Duration // from the start
+	At     time.Duration // from the start of the load
 	Kind   int
 	Prompt int // tokens
 	Output int // tokens
 }
 
-// Draw lists the requests of a load. The same seed gives the same list: gaps are
-// exponential, so requests come in clumps as callers do.
+// Draw generates the requests of a load. The same seed gives the same requests.
+// The gaps between requests are exponentially distributed, so requests cluster like
+// those of real callers.
 func (l Load) Draw(seed uint64) []Request {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var out []Request
@@ -119,7 +120,7 @@
 		if at >= l.Length {
 			return out
 		}
-		k := l.draw(rng)
+		k := l.drawKind(rng)
 		out = append(out, Request{At: at, Kind: k, Prompt: l.Kinds[k].Prompt.draw(rng), Output: l.Kinds[k].Output.draw(rng)})
 	}
 }
@@ -134,7 +135,7 @@
 	return rate
 }
 
-func (l Load) draw(rng *rand.Rand) int {
+func (l Load) drawKind(rng *rand.Rand) int {
 	x := rng.Float64()
 	for i, k := range l.Kinds {
 		if x -= k.Share; x < 0 {
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -9,16 +9,16 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// The size of a plot.
+// The layout of a plot.
 const (
-	plotWidth  = 9 * vg.Inch
-	plotHeight = 5 * vg.Inch
-	legendLine = 0.07 // height of a line of the legend, on the axis
+	plotWidth        = 9 * vg.Inch
+	plotHeight       = 5 * vg.Inch
+	legendLineHeight = 0.07 // height of a line of the legend, in units of the y axis
 )
 
 // Plot draws the worth of each kind over time, one line for each kind of each
-// report. The ending of path chooses the format: .svg, .png or .pdf. It fails
-// with BadSetting when the reports are of other work.
+// report. The extension of path determines the format: .svg, .png or .pdf. It
+// fails with BadSetting if the reports are not comparable.
 func Plot(path string, reports ...*Result) error {
 	p := plot.New()
 	p.Title.Text = "worth by kind over time"
@@ -27,9 +27,9 @@
 	p.Y.Min = 0
 	p.Legend.Top = true
 	lines := len(reports) * len(reports[0].Load.Kinds)
-	p.Y.Max = 1 + legendLine*float64(lines) // the legend's lines lie above the curves
+	p.Y.Max = 1 + legendLineHeight*float64(lines) // leaves room for the legend above the curves
 	for n, r := range reports {
-		if err := sameWork(reports[0], r); err != nil {
+		if err := checkComparable(reports[0], r); err != nil {
 			return err
 		}
 		for i, k := range r.Load.Kinds {
@@ -46,11 +46,11 @@
 	return failure.Wrap(failure.BadSetting, p.Save(plotWidth, plotHeight, path), "write the plot")
 }
 
-// points are the seconds in which something was asked.
+// points returns the worth of each second in which requests arrived.
 func points(seconds []*Tally) plotter.XYs {
 	var xy plotter.XYs
 	for s, t := range seconds {
-		if t.all() > 0 {
+		if t.total() > 0 {
 			xy = append(xy, plotter.XY{X: float64(s), Y: t.worth()})
 		}
 	}
