--- a/internal/replay/baseline.go
+++ b/internal/replay/baseline.go
@@ -7,28 +7,28 @@
 
 func sortInts(v []int) { sort.Ints(v) }
 
-// baselineHosts is how many hosts a baseline has, each deciding alone.
+// baselineHosts is the number of hosts of a baseline. Each decides on its own.
 const baselineHosts = 6
 
-// baseline dispatches each request at once: no queue, no tiers. It stands for
-// what users would do without the system.
+// baseline dispatches each request at once, without queues or tiers, as users would do
+// without the scheduler.
 type baseline struct {
-	host     Host
-	servers  []Line
-	next     int     // round robin
-	inFlight [][]int // by host and server; nil for round robin
-	owner    map[int]int
+	host       Host
+	servers    []Line
+	dispatched int         // number of requests dispatched by round robin
+	inFlight   [][]int     // by host and server; nil for round robin
+	hostOf     map[int]int // host of each request in flight
 }
 
-// RoundRobin sends each request to the next server in turn.
+// RoundRobin returns a scheduler that sends each request to the next server in turn.
 func RoundRobin(servers []Line, _ Line, h Host) Scheduler {
-	return &baseline{host: h, servers: servers, owner: map[int]int{}}
+	return &baseline{host: h, servers: servers, hostOf: map[int]int{}}
 }
 
-// LeastInFlight sends each request to the server with the fewest requests in
-// flight from the same host; hosts do not know of each other.
+// LeastInFlight returns a scheduler that sends each request to the server with the fewest
+// requests in flight from the same host. Hosts don't know of each other's requests.
 func LeastInFlight(servers []Line, _ Line, h Host) Scheduler {
-	b := &baseline{host: h, servers: servers, owner: map[int]int{}}
+	b := &baseline{host: h, servers: servers, hostOf: map[int]int{}}
 	for range baselineHosts {
 		b.inFlight = append(b.inFlight, make([]int, len(servers)))
 	}
@@ -37,8 +37,8 @@
 
 func (b *baseline) Arrive(now time.Duration, index int, _ *Line) {
 	if b.inFlight == nil {
-		b.host.Dispatch(now, index, b.next%len(b.servers))
-		b.next++
+		b.host.Dispatch(now, index, b.dispatched%len(b.servers))
+		b.dispatched++
 		return
 	}
 	host := index % baselineHosts
@@ -49,14 +49,14 @@
 		}
 	}
 	b.inFlight[host][best]++
-	b.owner[index] = host
+	b.hostOf[index] = host
 	b.host.Dispatch(now, index, best)
 }
 
 func (b *baseline) Finished(_ time.Duration, server int, f Finish) {
-	if host, ok := b.owner[f.Index]; ok {
+	if host, ok := b.hostOf[f.Index]; ok {
 		b.inFlight[host][server]--
-		delete(b.owner, f.Index)
+		delete(b.hostOf, f.Index)
 	}
 }
 
--- a/internal/replay/corepolicy.go
+++ b/internal/replay/corepolicy.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	theHolder      = ident.Incarnation(1)
-	defaultWaiting = 10000
-	ledgerHorizon  = 120 * time.Second
+	holderIncarnation   = ident.Incarnation(1)
+	defaultWaitingLimit = 10000
+	ledgerHorizon       = 120 * time.Second
 )
 
-// coreScheduler runs the core as the daemon does, for one holder.
+// coreScheduler runs package core as the daemon does, with a single holder.
 type coreScheduler struct {
-	policy  core.Policy
-	host    Host
-	servers []Line
-	waiting int
-	cell    *core.Cell
-	epoch   time.Duration // virtual time at which the home opened
-	open    map[int]*Line // waiting or running, for the next home's report
-	granted map[int]int   // server of a running request
-	lostAt  time.Duration // a lost home's successor opens then
-	out     []core.Action
+	policy       core.Policy
+	host         Host
+	servers      []Line
+	waitingLimit int           // limit of waiting requests
+	cell         *core.Cell    // nil while there is no home
+	epoch        time.Duration // virtual time at which the home started
+	open         map[int]*Line // waiting and running requests, which are reported to the next home
+	granted      map[int]int   // server of each running request
+	reopenAt     time.Duration // time at which the next home starts after a loss
+	actions      []core.Action
 }
 
-// Core builds the scheduler of the daemon with a policy.
+// Core returns a function that builds the daemon's scheduler with a policy.
 func Core(p core.Policy) func([]Line, Line, Host) Scheduler {
 	return func(servers []Line, opt Line, h Host) Scheduler {
-		s := &coreScheduler{policy: p, host: h, servers: servers, waiting: opt.Waiting, open: map[int]*Line{}, granted: map[int]int{}}
-		if s.waiting == 0 {
-			s.waiting = defaultWaiting
+		s := &coreScheduler{policy: p, host: h, servers: servers, waitingLimit: opt.Waiting, open: map[int]*Line{}, granted: map[int]int{}}
+		if s.waitingLimit == 0 {
+			s.waitingLimit = defaultWaitingLimit
 		}
 		s.openHome(0)
 		return s
@@ -53,22 +53,22 @@
 
 func (s *coreScheduler) now(now time.Duration) core.Time { return core.Time(now - s.epoch) }
 
-// openHome starts a home: its servers, its members, the holder's report and
-// what waits.
+// openHome starts a home: it sends the configuration, the members, the holder's
+// report and the waiting requests.
 func (s *coreScheduler) openHome(now time.Duration) {
 	s.epoch = now
 	s.cell = core.NewCell(0, s.policy)
-	cfg := core.Configure{Waiting: s.waiting, Horizon: ledgerHorizon}
+	cfg := core.Configure{Waiting: s.waitingLimit, Horizon: ledgerHorizon}
 	for i, l := range s.servers {
 		cfg.Servers = append(cfg.Servers, core.ServerSpec{ID: serverID(i), Speed: l.Speed, MaxSequences: maxSequences, CacheTokens: cacheTokens})
 	}
 	s.step(now, cfg)
-	s.step(now, core.Members{Live: []ident.Incarnation{theHolder}})
-	rep := core.Report{Holder: theHolder, Stamp: core.Stamp(now)}
+	s.step(now, core.Members{Live: []ident.Incarnation{holderIncarnation}})
+	rep := core.Report{Holder: holderIncarnation, Stamp: core.Stamp(now)}
 	for _, i := range sortedKeys(s.granted) {
 		a := s.open[i]
 		rep.Entries = append(rep.Entries, core.LedgerEntry{
-			ID: requestID(i), Holder: theHolder, Server: serverID(s.granted[i]), State: core.LedgerGranted,
+			ID: requestID(i), Holder: holderIncarnation, Server: serverID(s.granted[i]), State: core.LedgerGranted,
 			Prefix: prefix.Key(a.Prefix), PrefixTokens: a.PrefixTokens,
 		})
 	}
@@ -93,8 +93,8 @@
 	if s.cell == nil {
 		return
 	}
-	s.out = s.cell.Step(s.now(now), ev, s.out[:0])
-	for _, a := range s.out {
+	s.actions = s.cell.Step(s.now(now), ev, s.actions[:0])
+	for _, a := range s.actions {
 		switch a.Kind {
 		case core.Grant:
 			s.granted[indexOf(a.ID)] = int(a.Server) - 1
@@ -115,7 +115,7 @@
 	a := s.open[index]
 	arrived := time.Duration(a.AtMS * float64(time.Millisecond))
 	s.step(now, core.Register{Request: core.Request{
-		ID: requestID(index), Holder: theHolder, Account: ident.AccountID(a.Account), Tier: a.Tier,
+		ID: requestID(index), Holder: holderIncarnation, Account: ident.AccountID(a.Account), Tier: a.Tier,
 		PromptTokens: a.PrefixTokens + a.OwnTokens, OutputTokens: a.OutputTokens,
 		Prefix: prefix.Key(a.Prefix), PrefixTokens: a.PrefixTokens,
 		Whole:    prefix.Key(1<<40 + index),
@@ -127,18 +127,18 @@
 	delete(s.open, f.Index)
 	delete(s.granted, f.Index)
 	s.step(now, core.Finished{
-		ID: requestID(f.Index), Holder: theHolder, PromptTokens: f.Computed, OutputTokens: f.Output, FirstToken: f.First, Total: f.Total,
+		ID: requestID(f.Index), Holder: holderIncarnation, PromptTokens: f.Computed, OutputTokens: f.Output, FirstToken: f.First, Total: f.Total,
 	})
 }
 
 func (s *coreScheduler) Tick(now time.Duration) {
 	if s.cell == nil {
-		if now >= s.lostAt {
+		if now >= s.reopenAt {
 			s.openHome(now)
 		}
 		return
 	}
-	s.step(now, core.Heard{Holder: theHolder, Stamp: core.Stamp(now)})
+	s.step(now, core.Heard{Holder: holderIncarnation, Stamp: core.Stamp(now)})
 	s.step(now, core.Tick{})
 }
 
@@ -163,6 +163,6 @@
 func (s *coreScheduler) Fault(now time.Duration, l *Line) {
 	if l.Fault == FaultHomeLoss {
 		s.cell = nil
-		s.lostAt = now + time.Duration(l.DelayMS)*time.Millisecond
+		s.reopenAt = now + time.Duration(l.DelayMS)*time.Millisecond
 	}
 }
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The engine model: a step of 6 ms at speed 1 while it prefills a chunk of
-// 512 tokens, 3 ms when it only decodes, plus 0.2 ms for each running
-// sequence; at most 32 sequences; first come, first served.
+// The engine model. At speed 1 a step takes 6 ms if it prefills a chunk of 512
+// tokens and 3 ms if it only decodes, plus 0.2 ms for each running sequence. At
+// most 32 sequences run at once, first come, first served.
 const (
 	stepDecode   = 3 * time.Millisecond
 	stepPrefill  = 3 * time.Millisecond
@@ -19,17 +19,17 @@
 
 // job is one request in an engine.
 type job struct {
-	arrival   *Line
-	index     int
-	sent      time.Duration // when it was dispatched
-	first     time.Duration // first token, 0 before
-	toCompute int
-	computed  int
-	repeated  int
-	tokens    int
+	arrival    *Line
+	index      int
+	sent       time.Duration // time at which the server received it
+	first      time.Duration // time of the first token; 0 before
+	uncomputed int           // prompt tokens that are left to compute
+	computed   int           // prompt tokens that were not cached
+	repeated   int           // of them, tokens that another server had cached
+	tokens     int           // output tokens
 }
 
-// engine is the model of one server.
+// engine simulates one server.
 type engine struct {
 	index   int
 	speed   float64
@@ -37,14 +37,14 @@
 	running []*job
 	cache   engineCache
 	busy    bool
-	tokens  int           // since the last progress report
-	seqTime time.Duration // since the last progress report
+	tokens  int           // output tokens since the last progress report
+	seqTime time.Duration // sum of the running time of all sequences since the last progress report
 }
 
-// load is what a load report counts.
+// load returns the number of queued and running requests, as in a load report.
 func (e *engine) load() int { return len(e.queue) + len(e.running) }
 
-// begin starts a step at now and returns its length; 0 when idle.
+// begin starts a step and returns its length, 0 if there are no requests.
 func (e *engine) begin(now time.Duration, r *run) time.Duration {
 	for len(e.queue) > 0 && len(e.running) < maxSequences {
 		j := e.queue[0]
@@ -55,45 +55,45 @@
 	if len(e.running) == 0 {
 		return 0
 	}
-	left := chunkTokens
+	chunkLeft := chunkTokens
 	for _, j := range e.running {
-		n := min(left, j.toCompute)
-		j.toCompute -= n
-		left -= n
+		n := min(chunkLeft, j.uncomputed)
+		j.uncomputed -= n
+		chunkLeft -= n
 	}
-	d := stepDecode + stepPrefill*time.Duration(chunkTokens-left)/chunkTokens + stepSequence*time.Duration(len(e.running))
+	d := stepDecode + stepPrefill*time.Duration(chunkTokens-chunkLeft)/chunkTokens + stepSequence*time.Duration(len(e.running))
 	d = time.Duration(float64(d) / e.speed)
 	e.seqTime += d * time.Duration(len(e.running))
 	return d
 }
 
-// admit takes a job into the batch: the cached prefix is deducted.
+// admit computes how many prompt tokens of a job are not cached, and caches its prompt.
 func (e *engine) admit(now time.Duration, j *job, r *run) {
 	a := j.arrival
-	j.toCompute = a.OwnTokens
+	j.uncomputed = a.OwnTokens
 	if !e.cache.touch(a.Prefix) && a.PrefixTokens > 0 {
-		j.toCompute += a.PrefixTokens
-		if r.heldElsewhere(e, a.Prefix) {
+		j.uncomputed += a.PrefixTokens
+		if r.cachedElsewhere(e, a.Prefix) {
 			j.repeated = a.PrefixTokens
 		}
 		e.store(now, a.Prefix, a.PrefixTokens, r)
 	}
 	e.store(now, -1-j.index, a.OwnTokens, r)
-	j.computed = j.toCompute
+	j.computed = j.uncomputed
 }
 
 func (e *engine) store(now time.Duration, key, tokens int, r *run) {
-	for _, old := range e.cache.add(key, tokens) {
-		r.evicted(now, e, old)
+	for _, evictedKey := range e.cache.add(key, tokens) {
+		r.evicted(now, e, evictedKey)
 	}
 }
 
-// end finishes a step and returns the jobs that it ended.
+// end finishes a step and returns the jobs that are complete.
 func (e *engine) end(now time.Duration) []*job {
 	var done []*job
-	kept := e.running[:0]
+	remaining := e.running[:0]
 	for _, j := range e.running {
-		if j.toCompute == 0 {
+		if j.uncomputed == 0 {
 			if j.tokens == 0 {
 				j.first = now
 			}
@@ -104,45 +104,45 @@
 			done = append(done, j)
 			continue
 		}
-		kept = append(kept, j)
+		remaining = append(remaining, j)
 	}
-	e.running = kept
+	e.running = remaining
 	return done
 }
 
-// engineCache holds prefixes and own parts, least recently used out first.
+// engineCache is an LRU cache of shared prefixes and of the remaining prompt parts of requests.
 type engineCache struct {
-	size   int
-	tokens int
-	keys   map[int]*list.Element
-	recent *list.List
+	capacity  int // tokens
+	tokens    int // tokens in use
+	keys      map[int]*list.Element
+	byRecency *list.List // of cachedPart, most recently used first
 }
 
 type cachedPart struct{ key, tokens int }
 
-func newEngineCache(size int) engineCache {
-	return engineCache{size: size, keys: map[int]*list.Element{}, recent: list.New()}
+func newEngineCache(capacity int) engineCache {
+	return engineCache{capacity: capacity, keys: map[int]*list.Element{}, byRecency: list.New()}
 }
 
-func (c *engineCache) holds(key int) bool { return c.keys[key] != nil }
+func (c *engineCache) contains(key int) bool { return c.keys[key] != nil }
 
 func (c *engineCache) touch(key int) bool {
 	e := c.keys[key]
 	if e == nil {
 		return false
 	}
-	c.recent.MoveToFront(e)
+	c.byRecency.MoveToFront(e)
 	return true
 }
 
-// add stores a part and returns the keys that it pushed out.
+// add stores a prompt part and returns the keys that were evicted for it.
 func (c *engineCache) add(key, tokens int) []int {
-	c.keys[key] = c.recent.PushFront(cachedPart{key, tokens})
+	c.keys[key] = c.byRecency.PushFront(cachedPart{key, tokens})
 	c.tokens += tokens
 	var out []int
-	for c.tokens > c.size && c.recent.Len() > 1 {
-		last := c.recent.Back()
-		p := c.recent.Remove(last).(cachedPart)
+	for c.tokens > c.capacity && c.byRecency.Len() > 1 {
+		last := c.byRecency.Back()
+		p := c.byRecency.Remove(last).(cachedPart)
 		delete(c.keys, p.key)
 		c.tokens -= p.tokens
 		out = append(out, p.key)
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Tier sums up one tier, or one client account.
+// Tier is the result of one tier or one client account.
 type Tier struct {
 	Number  int
 	Offered int
 	InTime  int
 	Late    int
 	Shed    int
-	// Waits are the whole times of answers, sorted.
+	// Waits holds the times from arrival to the end of the answer, sorted.
 	Waits []time.Duration
 }
 
-// Goodput is the share answered whole within its deadline.
+// Goodput returns the share of the requests answered in full before their deadline.
 func (t Tier) Goodput() float64 {
 	if t.Offered == 0 {
 		return 0
@@ -25,7 +25,7 @@
 	return float64(t.InTime) / float64(t.Offered)
 }
 
-// P99 is the 99th percentile of the time to the whole answer.
+// P99 returns the 99th percentile of the time from arrival to the end of the answer.
 func (t Tier) P99() time.Duration {
 	if len(t.Waits) == 0 {
 		return 0
@@ -33,19 +33,19 @@
 	return t.Waits[len(t.Waits)*99/100]
 }
 
-// Result is what came of a trace.
+// Result is the result of replaying a trace.
 type Result struct {
 	Tiers    map[int]*Tier
 	Accounts map[int]*Tier
-	Computed int // prompt tokens
-	Repeated int // computed though another server held them
-	Unread   int // computed for answers that came late
-	// Dispatches are the times at which each server was sent a request.
+	Computed int // prompt tokens that were computed
+	Repeated int // of them, tokens that another server had cached
+	Unread   int // of the others, tokens computed for late answers
+	// Dispatches holds the times at which each server received requests.
 	Dispatches map[string][]time.Duration
-	Ended      time.Duration
+	Ended      time.Duration // time of the last event
 }
 
-// Wasted is the share of the computed prompt tokens that was of no use.
+// Wasted returns the share of the computed prompt tokens that were repeated or unread.
 func (r Result) Wasted() float64 {
 	if r.Computed == 0 {
 		return 0
@@ -53,7 +53,7 @@
 	return float64(r.Repeated+r.Unread) / float64(r.Computed)
 }
 
-// DispatchedBetween counts the requests sent to a server in a span of time.
+// DispatchedBetween returns the number of requests that a server received between two times.
 func (r Result) DispatchedBetween(server string, from, to time.Duration) int {
 	n := 0
 	for _, at := range r.Dispatches[server] {
@@ -64,7 +64,7 @@
 	return n
 }
 
-// Numbers lists the tiers, most urgent first.
+// Numbers returns the numbers of the tiers, most urgent first.
 func (r Result) Numbers() []int {
 	var out []int
 	for n := range r.Tiers {
@@ -74,7 +74,7 @@
 	return out
 }
 
-func at(m *map[int]*Tier, n int) *Tier {
+func tierOf(m *map[int]*Tier, n int) *Tier {
 	if *m == nil {
 		*m = map[int]*Tier{}
 	}
@@ -86,8 +86,8 @@
 	return t
 }
 
-func (r *Result) note(a *Line, o outcome, now time.Duration) {
-	for _, t := range []*Tier{at(&r.Tiers, a.Tier), at(&r.Accounts, a.Account)} {
+func (r *Result) addOutcome(a *Line, o outcome, now time.Duration) {
+	for _, t := range []*Tier{tierOf(&r.Tiers, a.Tier), tierOf(&r.Accounts, a.Account)} {
 		t.Offered++
 		switch o {
 		case inTime:
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *Result) prefill(j *job, o outcome) {
+func (r *Result) addPrefill(j *job, o outcome) {
 	r.Computed += j.computed
 	r.Repeated += j.repeated
 	if o == late {
@@ -111,7 +111,7 @@
 }
 
 func (r *Result) finish(x *run) {
-	r.Ended = x.lastAt
+	r.Ended = x.endedAt
 	for _, m := range []map[int]*Tier{r.Tiers, r.Accounts} {
 		for _, t := range m {
 			sort.Slice(t.Waits, func(i, j int) bool { return t.Waits[i] < t.Waits[j] })
@@ -119,7 +119,7 @@
 	}
 }
 
-// Stated returns the lines that state this result.
+// Stated returns the lines of a trace that state this result.
 func (r Result) Stated() []Line {
 	var out []Line
 	for _, n := range r.Numbers() {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// Differences compares the result with the outcomes that a trace states.
+// Differences describes how the result differs from the outcomes that the trace states.
 func (r Result) Differences(t Trace) []string {
 	var out []string
 	for _, l := range t.Lines {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -12,7 +12,7 @@
 	defaultNetwork = 1500 * time.Microsecond
 )
 
-// Scheduler decides where requests go. now is virtual time.
+// Scheduler decides which server gets a request. now is virtual time.
 type Scheduler interface {
 	Arrive(now time.Duration, index int, a *Line)
 	Finished(now time.Duration, server int, j Finish)
@@ -23,24 +23,25 @@
 	Fault(now time.Duration, l *Line)
 }
 
-// Finish is what a holder reports of an answered request.
+// Finish is a holder's report of an answered request.
 type Finish struct {
 	Index    int
-	Computed int
-	Output   int
-	First    time.Duration
+	Computed int           // prompt tokens
+	Output   int           // tokens
+	First    time.Duration // time to the first token
 	Total    time.Duration
 }
 
-// Host is what a Scheduler may do.
+// Host carries out the decisions of a Scheduler.
 type Host interface {
 	// Dispatch sends a request to a server.
 	Dispatch(now time.Duration, index, server int)
-	// Shed tells its caller not run.
+	// Shed refuses a request, which has not run.
 	Shed(now time.Duration, index int)
 }
 
-// timer is one future event; order breaks ties, so runs are repeatable.
+// timer is a future event. Timers at the same time run in the order in which they were
+// scheduled, so that runs are repeatable.
 type timer struct {
 	at    time.Duration
 	order uint64
@@ -72,35 +73,35 @@
 	names    []string
 	arrivals []*Line
 	outcome  []outcome
-	open     int
+	open     int // requests without an outcome
 	sched    Scheduler
 	queue    timers
 	order    uint64
-	losses   *rand.Rand
+	lossRand *rand.Rand
 	pending  []evictions // by server
 	result   Result
-	lastAt   time.Duration
+	endedAt  time.Duration
 }
 
-// evictions are the cache events of one server that wait for their lag.
+// evictions are the cache events of one server since its last report.
 type evictions struct {
 	keys []int
-	gap  bool
+	gap  bool // events were lost
 }
 
-// outcome is the final word on one arrival.
+// outcome is the final outcome of one request.
 type outcome uint8
 
 const (
-	undecided outcome = iota
+	noOutcome outcome = iota
 	inTime
 	late
 	shed
 )
 
-// Run replays a trace with the scheduler that build makes.
+// Run replays a trace with the scheduler that build returns.
 func Run(t Trace, build func(servers []Line, opt Line, h Host) Scheduler) Result {
-	r := &run{losses: rand.New(rand.NewPCG(1, 2))}
+	r := &run{lossRand: rand.New(rand.NewPCG(1, 2))}
 	r.opt.NetworkUS = int64(defaultNetwork / time.Microsecond)
 	var servers []Line
 	var faults []*Line
@@ -117,55 +118,55 @@
 			faults = append(faults, l)
 		}
 	}
-	size := cacheTokens
+	capacity := cacheTokens
 	if r.opt.CacheTokens > 0 {
-		size = r.opt.CacheTokens
+		capacity = r.opt.CacheTokens
 	}
 	for i, s := range servers {
 		r.names = append(r.names, s.Server)
-		r.engines = append(r.engines, &engine{index: i, speed: s.Speed, cache: newEngineCache(size)})
+		r.engines = append(r.engines, &engine{index: i, speed: s.Speed, cache: newEngineCache(capacity)})
 	}
 	r.result.Dispatches = map[string][]time.Duration{}
 	r.pending = make([]evictions, len(servers))
 	r.outcome = make([]outcome, len(r.arrivals))
 	r.open = len(r.arrivals)
 	r.sched = build(servers, r.opt, r)
-	r.plan(faults)
+	r.scheduleTrace(faults)
 	for r.open > 0 && len(r.queue) > 0 {
 		next := heap.Pop(&r.queue).(timer)
-		r.lastAt = next.at
+		r.endedAt = next.at
 		next.do(next.at)
 	}
 	r.result.finish(r)
 	return r.result
 }
 
-func (r *run) at(when time.Duration, do func(time.Duration)) {
+func (r *run) schedule(when time.Duration, do func(time.Duration)) {
 	r.order++
 	heap.Push(&r.queue, timer{at: when, order: r.order, do: do})
 }
 
 func (r *run) network() time.Duration { return time.Duration(r.opt.NetworkUS) * time.Microsecond }
 
-func (r *run) plan(faults []*Line) {
+func (r *run) scheduleTrace(faults []*Line) {
 	for i, a := range r.arrivals {
 		when := time.Duration(a.AtMS * float64(time.Millisecond))
-		r.at(when+r.network(), func(now time.Duration) { r.sched.Arrive(now, i, a) })
+		r.schedule(when+r.network(), func(now time.Duration) { r.sched.Arrive(now, i, a) })
 	}
 	for _, f := range faults {
-		r.at(time.Duration(f.AtMS*float64(time.Millisecond)), func(now time.Duration) { r.fault(now, f) })
+		r.schedule(time.Duration(f.AtMS*float64(time.Millisecond)), func(now time.Duration) { r.fault(now, f) })
 	}
 	r.every(tickPeriod, func(now time.Duration) { r.sched.Tick(now) })
 	r.every(reportPeriod, r.report)
 }
 
 func (r *run) every(period time.Duration, do func(time.Duration)) {
-	var again func(time.Duration)
-	again = func(now time.Duration) {
+	var repeat func(time.Duration)
+	repeat = func(now time.Duration) {
 		do(now)
-		r.at(now+period, again)
+		r.schedule(now+period, repeat)
 	}
-	r.at(period, again)
+	r.schedule(period, repeat)
 }
 
 func (r *run) fault(now time.Duration, f *Line) {
@@ -181,7 +182,7 @@
 
 func (r *run) serverName(i int) string { return r.names[i] }
 
-// report sends progress, load and cache events, each with its lag.
+// report sends the progress, load and cache reports of all servers, each with its delay.
 func (r *run) report(now time.Duration) {
 	lag := time.Duration(r.opt.LoadLagMS) * time.Millisecond
 	cacheLag := time.Duration(r.opt.CacheLagMS) * time.Millisecond
@@ -191,49 +192,50 @@
 		running := e.load() + r.opt.LoadSkew
 		events := r.pending[i]
 		r.pending[i] = evictions{}
-		r.at(now+r.network(), func(at time.Duration) { r.sched.Progress(at, i, tokens, seqTime) })
-		r.at(now+lag+r.network(), func(at time.Duration) { r.sched.Load(at, i, running, at-now) })
+		r.schedule(now+r.network(), func(at time.Duration) { r.sched.Progress(at, i, tokens, seqTime) })
+		r.schedule(now+lag+r.network(), func(at time.Duration) { r.sched.Load(at, i, running, at-now) })
 		if len(events.keys) > 0 || events.gap {
-			r.at(now+cacheLag+r.network(), func(at time.Duration) {
+			r.schedule(now+cacheLag+r.network(), func(at time.Duration) {
 				r.sched.Evicted(at, i, events.keys, events.gap, at-now+reportPeriod)
 			})
 		}
 	}
 }
 
-// evicted notes a cache event; some are lost, which leaves a gap.
+// evicted records a cache event for the next report. A share of the events is lost and
+// reported as a gap.
 func (r *run) evicted(_ time.Duration, e *engine, key int) {
 	if key < 0 {
-		return // own parts: nobody else asks for them
+		return // prompt part of a single request, which no other request uses
 	}
-	if r.opt.CacheLoss > 0 && r.losses.Float64() < r.opt.CacheLoss {
+	if r.opt.CacheLoss > 0 && r.lossRand.Float64() < r.opt.CacheLoss {
 		r.pending[e.index].gap = true
 		return
 	}
 	r.pending[e.index].keys = append(r.pending[e.index].keys, key)
 }
 
-func (r *run) heldElsewhere(than *engine, key int) bool {
+func (r *run) cachedElsewhere(except *engine, key int) bool {
 	for _, e := range r.engines {
-		if e != than && e.cache.holds(key) {
+		if e != except && e.cache.contains(key) {
 			return true
 		}
 	}
 	return false
 }
 
-// Dispatch implements Host: the grant travels to the holder, the request to
-// the server.
+// Dispatch implements Host. The grant goes to the holder, then the request to the server, so
+// it takes two network delays.
 func (r *run) Dispatch(now time.Duration, index, server int) {
-	r.at(now+2*r.network(), func(at time.Duration) {
+	r.schedule(now+2*r.network(), func(at time.Duration) {
 		e := r.engines[server]
 		r.result.Dispatches[r.names[server]] = append(r.result.Dispatches[r.names[server]], at)
 		e.queue = append(e.queue, &job{arrival: r.arrivals[index], index: index, sent: at})
-		r.wake(at, e)
+		r.startStep(at, e)
 	})
 }
 
-func (r *run) wake(now time.Duration, e *engine) {
+func (r *run) startStep(now time.Duration, e *engine) {
 	if e.busy {
 		return
 	}
@@ -242,25 +244,25 @@
 		return
 	}
 	e.busy = true
-	r.at(now+d, func(at time.Duration) {
+	r.schedule(now+d, func(at time.Duration) {
 		for _, j := range e.end(at) {
 			r.finish(at, e, j)
 		}
 		e.busy = false
-		r.wake(at, e)
+		r.startStep(at, e)
 	})
 }
 
 // Shed implements Host.
-func (r *run) Shed(now time.Duration, index int) { r.decide(now, index, shed) }
+func (r *run) Shed(now time.Duration, index int) { r.setOutcome(now, index, shed) }
 
-func (r *run) decide(now time.Duration, index int, o outcome) {
-	if r.outcome[index] != undecided {
+func (r *run) setOutcome(now time.Duration, index int, o outcome) {
+	if r.outcome[index] != noOutcome {
 		return
 	}
 	r.outcome[index] = o
 	r.open--
-	r.result.note(r.arrivals[index], o, now)
+	r.result.addOutcome(r.arrivals[index], o, now)
 }
 
 func (r *run) finish(now time.Duration, e *engine, j *job) {
@@ -270,8 +272,8 @@
 	if now+2*r.network() > deadline {
 		o = late
 	}
-	r.result.prefill(j, o)
-	r.decide(now+2*r.network(), j.index, o)
+	r.result.addPrefill(j, o)
+	r.setOutcome(now+2*r.network(), j.index, o)
 	f := Finish{Index: j.index, Computed: j.computed, Output: j.tokens, First: j.first - j.sent, Total: now - j.sent}
-	r.at(now+2*r.network(), func(at time.Duration) { r.sched.Finished(at, e.index, f) })
+	r.schedule(now+2*r.network(), func(at time.Duration) { r.sched.Finished(at, e.index, f) })
 }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,8 +1,8 @@
-// Package replay runs a recorded trace against the pure core in virtual time:
-// arrivals, server speeds and faults in, outcomes by tier out. The same trace
-// gives the same result bit for bit on every run. It holds the server model
-// of the measurements and the baseline policies; none of it is used by the
-// daemon.
+// Package replay replays a recorded trace against package core in virtual time. A
+// trace contains arrivals, server speeds and faults; the result contains outcomes
+// by tier. The same trace gives exactly the same result on every run. The package
+// also contains the server model of the measurements and the baseline policies.
+// The daemon doesn't use it.
 package replay
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// LineKind names what a line of a trace says.
+// LineKind is the kind of a line of a trace.
 type LineKind string
 
 // The kinds of lines.
@@ -29,62 +29,62 @@
 	LineExpect  LineKind = "expect"
 )
 
-// FaultKind names a fault of a trace.
+// FaultKind is the kind of a fault in a trace.
 type FaultKind string
 
-// The faults. Slow sets a server's speed to Speed; HomeLoss loses the home's
-// state at once, and the holder reports to the next one after DelayMS.
+// The kinds of faults. FaultSlow sets the speed of a server to Speed. FaultHomeLoss
+// drops the state of the home; the holder reports to the next home after DelayMS.
 const (
 	FaultSlow     FaultKind = "slow"
 	FaultHomeLoss FaultKind = "home_loss"
 )
 
-// Line is one line of a trace. Times are milliseconds from its start.
+// Line is one line of a trace. Times are in milliseconds from the start of the trace.
 type Line struct {
 	Kind LineKind `json:"kind"`
 
-	// server
+	// LineServer
 	Server string  `json:"server,omitempty"`
-	Speed  float64 `json:"speed,omitempty"` // also of a slow fault
+	Speed  float64 `json:"speed,omitempty"` // also of FaultSlow
 
-	// options
-	Waiting     int     `json:"waiting,omitempty"`
+	// LineOptions
+	Waiting     int     `json:"waiting,omitempty"` // limit of waiting requests
 	LoadLagMS   int64   `json:"load_lag_ms,omitempty"`
 	CacheLagMS  int64   `json:"cache_lag_ms,omitempty"`
-	CacheLoss   float64 `json:"cache_loss,omitempty"` // share of cache events lost
-	LoadSkew    int     `json:"load_skew,omitempty"`  // reports count this many requests too many
-	NetworkUS   int64   `json:"network_us,omitempty"` // one way between holder and home
+	CacheLoss   float64 `json:"cache_loss,omitempty"` // share of the cache events that are lost
+	LoadSkew    int     `json:"load_skew,omitempty"`  // number of requests by which load reports exceed the real load
+	NetworkUS   int64   `json:"network_us,omitempty"` // one-way delay between holder and home, or holder and server
 	CacheTokens int     `json:"cache_tokens,omitempty"`
 
-	// arrival
-	AtMS         float64 `json:"at_ms,omitempty"` // also of a fault
+	// LineArrival
+	AtMS         float64 `json:"at_ms,omitempty"` // also of LineFault
 	Account      int     `json:"account,omitempty"`
-	Tier         int     `json:"tier,omitempty"` // also of an expectation
+	Tier         int     `json:"tier,omitempty"` // also of LineExpect
 	Prefix       int     `json:"prefix,omitempty"`
 	PrefixTokens int     `json:"prefix_tokens,omitempty"`
 	OwnTokens    int     `json:"own_tokens,omitempty"`
 	OutputTokens int     `json:"output_tokens,omitempty"`
 	DeadlineMS   int64   `json:"deadline_ms,omitempty"`
 
-	// fault
+	// LineFault
 	Fault   FaultKind `json:"fault,omitempty"`
 	DelayMS int64     `json:"delay_ms,omitempty"`
 
-	// expect: the stated outcome of a tier (0: of all), or of an account
+	// LineExpect: the stated outcome of an account or, if Account is 0, of a tier
 	Offered int `json:"offered,omitempty"`
 	InTime  int `json:"in_time,omitempty"`
 	Late    int `json:"late,omitempty"`
 	Shed    int `json:"shed,omitempty"`
 }
 
-// Trace is a whole trace in order.
+// Trace is a complete trace in order.
 type Trace struct {
 	Lines []Line
 }
 
-const maxTraceLine = 1 << 16
+const maxTraceLine = 1 << 16 // bytes
 
-// Read reads a trace of JSON lines, strictly.
+// Read reads a trace from lines of JSON. It fails with BadRequest on the first malformed line.
 func Read(r io.Reader) (Trace, error) {
 	var t Trace
 	lines := bufio.NewScanner(r)
@@ -99,7 +99,7 @@
 	return t, failure.Wrap(failure.BadRequest, lines.Err(), "trace")
 }
 
-// Write writes a trace as JSON lines.
+// Write writes a trace as lines of JSON.
 func (t Trace) Write(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	for _, l := range t.Lines {
@@ -110,39 +110,39 @@
 	return nil
 }
 
-// Work is one kind of work of a generated trace.
+// Work is one kind of request of a generated trace.
 type Work struct {
-	Tier     int
-	Share    float64
-	Prefixes int
-	Prefix   int
-	Own      int
-	Output   int
-	Deadline time.Duration
+	Tier             int
+	Share            float64 // of all requests
+	Prefixes         int     // number of different prompt prefixes
+	PrefixTokens     int     // length of a prefix
+	MeanOwnTokens    int     // prompt tokens after the prefix
+	MeanOutputTokens int
+	Deadline         time.Duration
 }
 
-// Fleet is a mix of work over servers.
+// Fleet is a set of servers with a mix of work.
 type Fleet struct {
 	Name   string
-	Speeds []float64
+	Speeds []float64 // by server
 	Works  []Work
 }
 
-func speeds(at1, at2, at4 int) []float64 {
+func speeds(count1, count2, count4 int) []float64 {
 	var out []float64
-	for range at1 {
+	for range count1 {
 		out = append(out, 1)
 	}
-	for range at2 {
+	for range count2 {
 		out = append(out, 2)
 	}
-	for range at4 {
+	for range count4 {
 		out = append(out, 4)
 	}
 	return out
 }
 
-// Tsumugi is the Kyushu Fleet's model service.
+// Tsumugi returns the Kyushu Fleet's model service.
 func Tsumugi() Fleet {
 	return Fleet{Name: "tsumugi", Speeds: speeds(6, 8, 4), Works: []Work{
 		{2, 0.70, 4, 1000, 150, 60, 3 * time.Second},
@@ -151,7 +151,7 @@
 	}}
 }
 
-// Qasida is the Manuscript Routing Fleet's model service.
+// Qasida returns the Manuscript Routing Fleet's model service.
 func Qasida() Fleet {
 	return Fleet{Name: "qasida", Speeds: speeds(3, 3, 3), Works: []Work{
 		{2, 0.60, 40, 8000, 300, 150, 8 * time.Second},
@@ -160,13 +160,13 @@
 	}}
 }
 
-// Varied changes a mix so that a policy tuned to its numbers shows: more
-// prefixes, other shares, longer outputs for the urgent tier.
+// Varied returns the fleet with a changed mix of work, which reveals a policy that is tuned
+// to the numbers of the mix: more prefixes, other shares and longer outputs.
 func (f Fleet) Varied() Fleet {
 	v := Fleet{Name: f.Name + "-varied", Speeds: f.Speeds}
 	for i, w := range f.Works {
 		w.Prefixes = w.Prefixes*2 + 1
-		w.Output = w.Output * 3 / 2
+		w.MeanOutputTokens = w.MeanOutputTokens * 3 / 2
 		if i == 0 {
 			w.Share -= 0.2
 		} else {
@@ -177,42 +177,42 @@
 	return v
 }
 
-// Generate draws a trace: Poisson arrivals at rate a second for d, lengths
-// from 0.3 to 1.7 of their mean, prefixes skewed by n*u*u. Only tiers up to
-// maxTier arrive; the arrivals of a tier do not depend on maxTier.
+// Generate generates a trace: Poisson arrivals at rate requests a second for d, lengths
+// from 0.3 to 1.7 times their mean, and prefix n*u*u of n for a uniform random u. Only
+// requests of tiers up to maxTier arrive; maxTier doesn't change the arrivals of a tier.
 func (f Fleet) Generate(rate float64, d time.Duration, seed uint64, maxTier int) Trace {
 	var t Trace
 	for i, s := range f.Speeds {
 		t.Lines = append(t.Lines, Line{Kind: LineServer, Server: fmt.Sprintf("%s-%02d", f.Name, i+1), Speed: s})
 	}
-	base := 1
+	firstPrefix := 1
 	var arrivals []Line
 	for i, w := range f.Works {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		if w.Tier <= maxTier {
-			arrivals = append(arrivals, w.arrivals(r, rate*w.Share, d, base)...)
+			arrivals = append(arrivals, w.arrivals(r, rate*w.Share, d, firstPrefix)...)
 		}
-		base += w.Prefixes
+		firstPrefix += w.Prefixes
 	}
 	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].AtMS < arrivals[j].AtMS })
 	t.Lines = append(t.Lines, arrivals...)
 	return t
 }
 
-func (w Work) arrivals(r *rand.Rand, rate float64, d time.Duration, base int) []Line {
+func (w Work) arrivals(r *rand.Rand, rate float64, d time.Duration, firstPrefix int) []Line {
 	var out []Line
 	const accounts = 5
 	for at := r.ExpFloat64() / rate; at < d.Seconds(); at += r.ExpFloat64() / rate {
 		u := r.Float64()
 		out = append(out, Line{
 			Kind: LineArrival, AtMS: at * 1000, Account: 1 + r.IntN(accounts), Tier: w.Tier,
-			Prefix: base + int(float64(w.Prefixes)*u*u), PrefixTokens: w.Prefix,
-			OwnTokens: vary(r, w.Own), OutputTokens: vary(r, w.Output), DeadlineMS: w.Deadline.Milliseconds(),
+			Prefix: firstPrefix + int(float64(w.Prefixes)*u*u), PrefixTokens: w.PrefixTokens,
+			OwnTokens: drawLength(r, w.MeanOwnTokens), OutputTokens: drawLength(r, w.MeanOutputTokens), DeadlineMS: w.Deadline.Milliseconds(),
 		})
 	}
 	return out
 }
 
-func vary(r *rand.Rand, mean int) int {
+func drawLength(r *rand.Rand, mean int) int {
 	return max(1, int(float64(mean)*(0.3+1.4*r.Float64())))
 }
