--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -8,10 +8,10 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Promise names what a violation breaks.
+// Promise names a guarantee of the system.
 type Promise string
 
-// The promises of the brief.
+// The guarantees that are checked.
 const (
 	AtMostOnce     Promise = "dispatched at most once"
 	OneFinalWord   Promise = "one final word"
@@ -25,24 +25,24 @@
 	FenceForward   Promise = "no order of an old lease holder takes effect"
 )
 
-// The times that the promises allow.
+// The time limits of the guarantees.
 const (
-	LeavingGrace = 3 * time.Second
-	ConfigLimit  = 6 * time.Second
-	// waitSlack is the time that messages between caller, host and home may
-	// take: a request counts as waiting at a shed only when it was sent that
-	// much earlier and started that much later.
-	waitSlack = 150 * time.Millisecond
+	LeavingGrace   = 3 * time.Second // until a leaving server gets no new requests
+	MaxConfigDelay = 6 * time.Second // until an accepted configuration is in force everywhere
+	// messageDelay is the time that messages between caller, host and home may
+	// take. A request counts as waiting when another one was shed only if it was
+	// sent this much before and started this much after.
+	messageDelay = 150 * time.Millisecond
 )
 
-// Violation is one broken promise with the events that show it.
+// Violation is one broken guarantee with the events that prove it.
 type Violation struct {
 	Promise Promise
 	Text    string
 	Events  []Event
 }
 
-// String prints the violation with its events.
+// String formats the violation with its events.
 func (v Violation) String() string {
 	s := fmt.Sprintf("%s: %s", v.Promise, v.Text)
 	for _, e := range v.Events {
@@ -52,14 +52,14 @@
 	return s
 }
 
-// Check finds every violation in a history, in a fixed order.
+// Check returns all violations in a history, in a fixed order.
 func Check(events []Event) []Violation {
 	all := append([]Event(nil), events...)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
-	x := index(all)
+	x := buildIndex(all)
 	var out []Violation
 	for _, check := range []func(*indexed) []Violation{
-		checkStarts, checkFinalWords, checkAnswers, checkNotRun, checkTiers,
+		checkStarts, checkOutcomes, checkAnswers, checkNotRun, checkTiers,
 		checkLeaving, checkDrains, checkVersions, checkFences,
 	} {
 		out = append(out, check(x)...)
@@ -67,7 +67,7 @@
 	return out
 }
 
-// indexed is a history by id, in order of time.
+// indexed is a history sorted by time and indexed by request ID and kind.
 type indexed struct {
 	all    []Event
 	ids    []string
@@ -75,12 +75,12 @@
 	byKind map[Kind][]Event
 }
 
-func index(all []Event) *indexed {
+func buildIndex(all []Event) *indexed {
 	x := &indexed{all: all, byID: map[string][]Event{}, byKind: map[Kind][]Event{}}
-	ids := idsOfKeys(all)
+	ids := idsByKey(all)
 	for _, e := range all {
 		if e.ID == "" && e.Key != "" {
-			e.ID = ids[e.Key] // a keyed attempt learns its id with its word
+			e.ID = ids[e.Key] // the ID of a request with an idempotency key is known only from its outcome
 		}
 		x.byKind[e.Kind] = append(x.byKind[e.Kind], e)
 		if e.ID == "" {
@@ -94,7 +94,7 @@
 	return x
 }
 
-func idsOfKeys(all []Event) map[string]string {
+func idsByKey(all []Event) map[string]string {
 	ids := map[string]string{}
 	for _, e := range all {
 		if e.Key != "" && e.ID != "" {
@@ -104,7 +104,7 @@
 	return ids
 }
 
-func (x *indexed) of(id string, k Kind) []Event {
+func (x *indexed) events(id string, k Kind) []Event {
 	var out []Event
 	for _, e := range x.byID[id] {
 		if e.Kind == k {
@@ -117,22 +117,22 @@
 func checkStarts(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
-		if starts := x.of(id, Started); len(starts) > 1 {
+		if starts := x.events(id, Started); len(starts) > 1 {
 			out = append(out, Violation{AtMostOnce, fmt.Sprintf("%s started %d times", id, len(starts)), starts})
 		}
 	}
 	return out
 }
 
-func checkFinalWords(x *indexed) []Violation {
+func checkOutcomes(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
-		asked, told := x.of(id, Asked), x.of(id, Told)
+		asked, told := x.events(id, Asked), x.events(id, Told)
 		if len(asked) > 0 && len(told) == 0 {
-			out = append(out, Violation{OneFinalWord, id + " was asked and its caller told nothing", asked})
+			out = append(out, Violation{OneFinalWord, id + " was sent and its caller received no outcome", asked})
 		}
 		if answered := withOutcome(told, failure.Answered); len(answered) > 0 && len(answered) < len(told) && len(asked) == 1 {
-			out = append(out, Violation{OneFinalWord, id + " was told two words", told})
+			out = append(out, Violation{OneFinalWord, id + " has an answer and another outcome", told})
 		}
 	}
 	return out
@@ -151,10 +151,10 @@
 func checkAnswers(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
-		made := x.of(id, Made)
-		for _, t := range withOutcome(x.of(id, Told), failure.Answered) {
+		made := x.events(id, Made)
+		for _, t := range withOutcome(x.events(id, Told), failure.Answered) {
 			if !matchesAny(t, made) {
-				out = append(out, Violation{WholeAnswer, id + " was answered with what no server made for it", append([]Event{t}, made...)})
+				out = append(out, Violation{WholeAnswer, id + " got an answer that no server made for it", append([]Event{t}, made...)})
 			}
 		}
 	}
@@ -170,17 +170,17 @@
 	return false
 }
 
-// checkNotRun allows a start after the word only when the caller sent a
-// newer attempt in between.
+// checkNotRun allows a start after the outcome "not run" only if the caller sent
+// another attempt in between.
 func checkNotRun(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
-		for _, t := range withOutcome(x.of(id, Told), failure.NotRun) {
-			for _, s := range x.of(id, Started) {
-				if s.At > t.At && askedBetween(x.of(id, Asked), t.At, s.At) {
+		for _, t := range withOutcome(x.events(id, Told), failure.NotRun) {
+			for _, s := range x.events(id, Started) {
+				if s.At > t.At && askedBetween(x.events(id, Asked), t.At, s.At) {
 					continue
 				}
-				out = append(out, Violation{NotRunIsTrue, id + " was told not run and started", []Event{t, s}})
+				out = append(out, Violation{NotRunIsTrue, id + " has the outcome not run, but was started", []Event{t, s}})
 			}
 		}
 	}
@@ -196,16 +196,16 @@
 	return false
 }
 
-// checkTiers looks for a request that was shed although one of a lower tier
-// of the same service was waiting, which shows by its start later.
+// checkTiers looks for requests that were shed while a request of a lower tier
+// of the same service was waiting. A request was waiting if it started later.
 func checkTiers(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
-		for _, t := range withOutcome(x.of(id, Told), failure.NotRun) {
+		for _, t := range withOutcome(x.events(id, Told), failure.NotRun) {
 			if t.Reason != failure.Overload && t.Reason != failure.HostFull && t.Reason != failure.Deadline {
 				continue
 			}
-			if v, ok := waitedBelow(x, t); ok {
+			if v, ok := lowerTierWaiting(x, t); ok {
 				out = append(out, v)
 			}
 		}
@@ -213,9 +213,9 @@
 	return out
 }
 
-func waitedBelow(x *indexed, shed Event) (Violation, bool) {
+func lowerTierWaiting(x *indexed, shed Event) (Violation, bool) {
 	for _, id := range x.ids {
-		asked, started := x.of(id, Asked), x.of(id, Started)
+		asked, started := x.events(id, Asked), x.events(id, Started)
 		if len(asked) == 0 || len(started) == 0 {
 			continue
 		}
@@ -223,8 +223,8 @@
 		if a.Service != shed.Service || a.Tier <= shed.Tier {
 			continue
 		}
-		if a.At < shed.At-int64(waitSlack) && s.At > shed.At+int64(waitSlack) {
-			return Violation{LowerTierFirst, fmt.Sprintf("tier %d was shed while tier %d waited and ran later", shed.Tier, a.Tier), []Event{a, shed, s}}, true
+		if a.At < shed.At-int64(messageDelay) && s.At > shed.At+int64(messageDelay) {
+			return Violation{LowerTierFirst, fmt.Sprintf("a request of tier %d was shed while one of tier %d was waiting", shed.Tier, a.Tier), []Event{a, shed, s}}, true
 		}
 	}
 	return Violation{}, false
@@ -240,14 +240,14 @@
 	var out []Violation
 	for _, s := range x.byKind[Started] {
 		if l, ok := first[s.Server]; ok && s.At > l.At+int64(LeavingGrace) {
-			out = append(out, Violation{LeavingServer, s.Server + " got new work after it was said to leave", []Event{l, s}})
+			out = append(out, Violation{LeavingServer, s.Server + " started a request after it was reported as leaving", []Event{l, s}})
 		}
 	}
 	return out
 }
 
-// checkDrains applies to histories in which hosts only drained and none was
-// killed: then nobody may be told unknown.
+// checkDrains applies to histories in which hosts drained and none was killed. In
+// these no request may have an unknown outcome.
 func checkDrains(x *indexed) []Violation {
 	if len(x.byKind[Draining]) == 0 || len(x.byKind[Killed]) > 0 {
 		return nil
@@ -261,28 +261,28 @@
 
 func checkVersions(x *indexed) []Violation {
 	version := func(e Event) (string, uint64) { return e.Source, e.Version }
-	out := goesBack(x.byKind[InForce], ConfigForward, " went back", version)
+	out := findDecreases(x.byKind[InForce], ConfigForward, " went back to an older version", version)
 	for _, e := range x.byKind[InForce] {
 		for _, a := range x.byKind[Accepted] {
-			if e.At > a.At+int64(ConfigLimit) && e.Version < a.Version && !x.unreachable(e) {
-				out = append(out, Violation{ConfigInTime, e.Source + " is behind", []Event{a, e}})
+			if e.At > a.At+int64(MaxConfigDelay) && e.Version < a.Version && !x.reportedIsolated(e) {
+				out = append(out, Violation{ConfigInTime, e.Source + " still has an older version", []Event{a, e}})
 			}
 		}
 	}
 	return out
 }
 
-// unreachable reports whether the source had said that it was cut off.
-func (x *indexed) unreachable(e Event) bool { return e.Reason == failure.Isolated }
+// reportedIsolated reports whether the source stated that it was isolated.
+func (x *indexed) reportedIsolated(e Event) bool { return e.Reason == failure.Isolated }
 
 func checkFences(x *indexed) []Violation {
 	fence := func(e Event) (string, uint64) { return e.Server, e.Fence }
-	return goesBack(x.byKind[Ordered], FenceForward, " took an old order", fence)
+	return findDecreases(x.byKind[Ordered], FenceForward, " carried out an old order", fence)
 }
 
-// goesBack finds the events whose number is below an earlier one's of the
-// same subject.
-func goesBack(events []Event, p Promise, what string, number func(Event) (subject string, n uint64)) []Violation {
+// findDecreases returns a violation for each event whose number is lower than that of an
+// earlier event of the same subject.
+func findDecreases(events []Event, p Promise, what string, number func(Event) (subject string, n uint64)) []Violation {
 	var out []Violation
 	newest := map[string]Event{}
 	for _, e := range events {
@@ -297,15 +297,15 @@
 	return out
 }
 
-// Prefill sums the prompt tokens that servers computed.
+// Prefill sums up the prompt tokens that servers computed.
 type Prefill struct {
-	Prompt   int // tokens of all prompts
-	Computed int // not taken from a cache
-	Repeated int // computed though another server of the service held them
-	Unread   int // computed for answers that nobody got
+	Prompt   int // all prompt tokens
+	Computed int // tokens not found in a cache
+	Repeated int // tokens computed although another server of the service had them cached
+	Unread   int // tokens computed for answers that no caller received
 }
 
-// Wasted is the share of computed prompt tokens that was of no use.
+// Wasted returns the share of the computed prompt tokens that were repeated or unread.
 func (p Prefill) Wasted() float64 {
 	if p.Computed == 0 {
 		return 0
@@ -313,7 +313,7 @@
 	return float64(p.Repeated+p.Unread) / float64(p.Computed)
 }
 
-// SumPrefill adds up the prefill of a history.
+// SumPrefill sums up the prefill of a history.
 func SumPrefill(events []Event) Prefill {
 	answered := map[string]bool{}
 	for _, e := range events {
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -16,9 +16,9 @@
 	RunSpecs(t, "history")
 }
 
-// sound is a history that keeps every promise: one answered request, one that
-// was shed, a configuration, a drain, an order.
-func sound() []history.Event {
+// validHistory returns a history without violations: two answered requests, one that
+// was shed, a configuration, a drain and an order.
+func validHistory() []history.Event {
 	ms := func(n int64) int64 { return n * int64(time.Millisecond) }
 	return []history.Event{
 		{At: ms(0), Kind: history.Accepted, Source: "op", Version: 1},
@@ -40,35 +40,35 @@
 }
 
 var _ = Describe("the checker", func() {
-	It("finds nothing in a sound history", func() {
-		Expect(history.Check(sound())).To(BeEmpty())
+	It("finds no violation in a valid history", func() {
+		Expect(history.Check(validHistory())).To(BeEmpty())
 	})
 
-	DescribeTable("finds the one event that breaks a promise",
+	DescribeTable("finds the event that breaks a guarantee",
 		func(p history.Promise, e history.Event) {
 			var broken []history.Promise
-			for _, v := range history.Check(append(sound(), e)) {
+			for _, v := range history.Check(append(validHistory(), e)) {
 				broken = append(broken, v.Promise)
 			}
 			Expect(broken).To(ContainElement(p))
 		},
-		Entry("a second start", history.AtMostOnce, history.Event{At: 3e8, Kind: history.Started, Source: "e2", Server: "e2", ID: "x"}),
-		Entry("no final word", history.OneFinalWord, history.Event{At: 3e8, Kind: history.Asked, Source: "c", ID: "z", Service: "s", Tier: 2}),
-		Entry("two words", history.OneFinalWord, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Unknown}),
-		Entry("another's answer", history.WholeAnswer, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Answered, Bytes: 10, Sum: "bb"}),
-		Entry("half an answer", history.WholeAnswer, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Answered, Bytes: 5, Sum: "aa"}),
-		Entry("a start after not run", history.NotRunIsTrue, history.Event{At: 92e7, Kind: history.Started, Source: "e1", Server: "e1", ID: "y"}),
-		Entry("a start before not run", history.NotRunIsTrue, history.Event{At: 5e8, Kind: history.Started, Source: "e1", Server: "e1", ID: "y"}),
-		Entry("a higher tier shed", history.LowerTierFirst, history.Event{At: 4e8, Kind: history.Told, Source: "c", ID: "u", Service: "s", Tier: 1, Outcome: failure.NotRun, Reason: failure.Overload}),
-		Entry("work for a leaving server", history.LeavingServer, history.Event{At: 41e8, Kind: history.Started, Source: "e1", Server: "e1", ID: "w"}),
-		Entry("a drain that cuts", history.CleanDrain, history.Event{At: 12e8, Kind: history.Told, Source: "c", ID: "v", Outcome: failure.Unknown}),
-		Entry("a version that reverts", history.ConfigForward, history.Event{At: 2e8, Kind: history.InForce, Source: "a", Version: 0}),
-		Entry("a host that is behind", history.ConfigInTime, history.Event{At: 7e9, Kind: history.InForce, Source: "b", Version: 0}),
-		Entry("an old order", history.FenceForward, history.Event{At: 2e9, Kind: history.Ordered, Source: "e1", Server: "e1", Fence: 1}),
+		Entry("second start", history.AtMostOnce, history.Event{At: 3e8, Kind: history.Started, Source: "e2", Server: "e2", ID: "x"}),
+		Entry("no outcome", history.OneFinalWord, history.Event{At: 3e8, Kind: history.Asked, Source: "c", ID: "z", Service: "s", Tier: 2}),
+		Entry("two outcomes", history.OneFinalWord, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Unknown}),
+		Entry("answer of another request", history.WholeAnswer, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Answered, Bytes: 10, Sum: "bb"}),
+		Entry("incomplete answer", history.WholeAnswer, history.Event{At: 97e7, Kind: history.Told, Source: "c", ID: "x", Outcome: failure.Answered, Bytes: 5, Sum: "aa"}),
+		Entry("start after not run", history.NotRunIsTrue, history.Event{At: 92e7, Kind: history.Started, Source: "e1", Server: "e1", ID: "y"}),
+		Entry("start before not run", history.NotRunIsTrue, history.Event{At: 5e8, Kind: history.Started, Source: "e1", Server: "e1", ID: "y"}),
+		Entry("higher tier shed", history.LowerTierFirst, history.Event{At: 4e8, Kind: history.Told, Source: "c", ID: "u", Service: "s", Tier: 1, Outcome: failure.NotRun, Reason: failure.Overload}),
+		Entry("new request for a leaving server", history.LeavingServer, history.Event{At: 41e8, Kind: history.Started, Source: "e1", Server: "e1", ID: "w"}),
+		Entry("unknown outcome in a drain", history.CleanDrain, history.Event{At: 12e8, Kind: history.Told, Source: "c", ID: "v", Outcome: failure.Unknown}),
+		Entry("older configuration version", history.ConfigForward, history.Event{At: 2e8, Kind: history.InForce, Source: "a", Version: 0}),
+		Entry("host with an outdated configuration", history.ConfigInTime, history.Event{At: 7e9, Kind: history.InForce, Source: "b", Version: 0}),
+		Entry("order with an old fencing token", history.FenceForward, history.Event{At: 2e9, Kind: history.Ordered, Source: "e1", Server: "e1", Fence: 1}),
 	)
 
-	It("allows a start after not run when the caller asked again in between", func() {
-		again := append(sound(),
+	It("allows a start after not run if the caller sent another attempt in between", func() {
+		again := append(validHistory(),
 			history.Event{At: 91e7, Kind: history.Asked, Source: "c", ID: "y", Service: "s", Tier: 4, Attempt: 2},
 			history.Event{At: 92e7, Kind: history.Started, Source: "e1", Server: "e1", ID: "y"},
 			history.Event{At: 93e7, Kind: history.Told, Source: "c", ID: "y", Service: "s", Tier: 4, Outcome: failure.Unknown},
@@ -80,7 +80,7 @@
 })
 
 var _ = Describe("linearizability", func() {
-	It("accepts a register that moves by compare-and-set", func() {
+	It("accepts a register changed by compare-and-set", func() {
 		Expect(history.RegisterLinearizable([]history.RegisterOp{
 			{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
 			{Client: 1, Call: 5, Return: 15, Base: 0, Accepted: false},
@@ -90,18 +90,18 @@
 	})
 	DescribeTable("refuses",
 		func(ops ...history.RegisterOp) { Expect(history.RegisterLinearizable(ops)).To(BeFalse()) },
-		Entry("two changes on one base",
+		Entry("two accepted changes based on one version",
 			history.RegisterOp{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
 			history.RegisterOp{Client: 1, Call: 5, Return: 15, Base: 0, Accepted: true}),
-		Entry("a read that goes back",
+		Entry("read of an older version",
 			history.RegisterOp{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
 			history.RegisterOp{Client: 2, Call: 20, Return: 30, Read: true, Saw: 0}),
 	)
-	It("accepts one winner of a claim and refuses two", func() {
-		one := history.ClaimOp{Client: 0, Call: 0, Return: 10, Key: "k", Token: "a", Won: true}
-		lost := history.ClaimOp{Client: 1, Call: 5, Return: 15, Key: "k", Token: "b"}
-		Expect(history.ClaimsLinearizable([]history.ClaimOp{one, lost})).To(BeTrue())
-		lost.Won = true
-		Expect(history.ClaimsLinearizable([]history.ClaimOp{one, lost})).To(BeFalse())
+	It("accepts one winner of a claim and rejects two", func() {
+		winner := history.ClaimOp{Client: 0, Call: 0, Return: 10, Key: "k", Token: "a", Won: true}
+		second := history.ClaimOp{Client: 1, Call: 5, Return: 15, Key: "k", Token: "b"}
+		Expect(history.ClaimsLinearizable([]history.ClaimOp{winner, second})).To(BeTrue())
+		second.Won = true
+		Expect(history.ClaimsLinearizable([]history.ClaimOp{winner, second})).To(BeFalse())
 	})
 })
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -1,6 +1,7 @@
-// Package history records what callers and backend servers saw of a
-// concurrent run, and checks it against the promises of the system. What the
-// servers saw is the ground truth: the system's own word counts nowhere.
+// Package history records what callers and backend servers observe during a
+// concurrent run and checks it against the guarantees of the system. The records
+// of the backend servers are the ground truth; the scheduler's own reports are
+// not used.
 package history
 
 import (
@@ -13,35 +14,36 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Kind names what happened.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds of events. Source names who saw it.
+// The kinds of events. Event.Source names the observer.
 const (
-	// Asked: a caller sent an attempt of an id.
+	// Asked means that a caller sent an attempt of a request.
 	Asked Kind = "asked"
-	// Told: a caller received a final word on an id.
+	// Told means that a caller received the final outcome of a request.
 	Told Kind = "told"
-	// Started: a backend server began an id.
+	// Started means that a backend server started a request.
 	Started Kind = "started"
-	// Made: a backend server finished an id; Bytes and Sum describe what it
-	// made, in the form in which callers receive it.
+	// Made means that a backend server finished a request. Bytes and Sum
+	// describe its answer as the caller must receive it.
 	Made Kind = "made"
-	// Leaves: some source first said that Server leaves.
+	// Leaves means that Source stated for the first time that Server leaves.
 	Leaves Kind = "leaves"
-	// Accepted: a configuration version was accepted.
+	// Accepted means that a configuration version was accepted.
 	Accepted Kind = "accepted"
-	// InForce: Source saw Version in force.
+	// InForce means that Source found Version in force.
 	InForce Kind = "in_force"
-	// Draining: entry host Source began to drain.
+	// Draining means that entry host Source started to drain.
 	Draining Kind = "draining"
-	// Killed: Source was killed or paused, so that unknown may be true.
+	// Killed means that Source was killed or paused, so the outcome of requests may
+	// be unknown.
 	Killed Kind = "killed"
-	// Ordered: a server let an order with a fencing number take effect.
+	// Ordered means that a server carried out an order with a fencing token.
 	Ordered Kind = "ordered"
 )
 
-// Event is one line of a history. At is nanoseconds on the one clock of the
+// Event is one line of a history. At is in nanoseconds on the clock of the
 // recording process or machine.
 type Event struct {
 	At         int64           `json:"at"`
@@ -63,18 +65,18 @@
 	DeadlineMS int64           `json:"deadline_ms,omitempty"`
 	Prompt     int             `json:"prompt_tokens,omitempty"`
 	Computed   int             `json:"computed_tokens,omitempty"`
-	Repeated   int             `json:"repeated_tokens,omitempty"` // computed though the server group held them
+	Repeated   int             `json:"repeated_tokens,omitempty"` // computed although another server of the service had them cached
 }
 
-// Log collects events of many goroutines. mu guards events and out.
+// Log collects events from many goroutines. mu guards events and out.
 type Log struct {
 	mu     sync.Mutex
 	events []Event
 	out    *json.Encoder
 }
 
-// NewLog keeps events in memory and, when w is not nil, writes each as a line
-// of JSON.
+// NewLog returns a log that writes events to w as lines of JSON. If w is nil, the
+// log keeps them in memory.
 func NewLog(w io.Writer) *Log {
 	l := &Log{}
 	if w != nil {
@@ -83,7 +85,7 @@
 	return l
 }
 
-// Add stamps and keeps an event. A nil Log drops it.
+// Add sets the time of an event and records it. A nil Log drops it.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
@@ -98,20 +100,20 @@
 	l.events = append(l.events, e)
 }
 
-// Events returns a copy of what was kept in memory.
+// Events returns a copy of the events kept in memory.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Event(nil), l.events...)
 }
 
-const maxLine = 1 << 20
+const maxLineLength = 1 << 20 // bytes
 
-// Read reads a history of JSON lines.
+// Read reads a history from lines of JSON.
 func Read(r io.Reader) ([]Event, error) {
 	var out []Event
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 64<<10), maxLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineLength)
 	for n := 1; lines.Scan(); n++ {
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -4,31 +4,32 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// RegisterOp is one call on the configuration register: a change based on a
-// version, or a read of the version in the register. Call and Return are the
-// times of the call on one clock. A change whose outcome its client does not
-// know is left open by a Return after the end of the history.
+// RegisterOp is one call to the configuration register: a compare-and-set based
+// on a version, or a read of the current version. Call and Return are its start
+// and end on one clock. For a change with unknown outcome, Return is after the
+// end of the history.
 type RegisterOp struct {
 	Client   int
 	Call     int64
 	Return   int64
 	Read     bool
-	Saw      uint64 // by a read
-	Base     uint64 // of a change
+	Saw      uint64 // version returned by a read
+	Base     uint64 // version that a change is based on
 	Accepted bool
 	Unknown  bool // the client does not know whether its change was accepted
 }
 
-// RegisterLinearizable checks calls on the configuration register: versions
-// rise by one with each accepted change, and only on the version in force.
+// RegisterLinearizable reports whether calls to the configuration register are
+// linearizable: a change is accepted only if it is based on the current version,
+// and each accepted change increments the version by one.
 func RegisterLinearizable(ops []RegisterOp) bool {
 	return porcupine.CheckOperations(registerModel(), operations(ops, func(op RegisterOp) (int, int64, int64) {
 		return op.Client, op.Call, op.Return
 	}))
 }
 
-// operations turns calls into porcupine's form; the call is its own input and
-// output.
+// operations converts calls to porcupine operations. The call is both input and
+// output of its operation.
 func operations[T any](ops []T, times func(T) (client int, call, ret int64)) []porcupine.Operation {
 	list := make([]porcupine.Operation, 0, len(ops))
 	for _, op := range ops {
@@ -43,19 +44,19 @@
 		Init: func() []any { return []any{uint64(0)} },
 		Step: func(state, input, _ any) []any {
 			version, op := state.(uint64), input.(RegisterOp)
-			fits := op.Base == version
+			baseIsCurrent := op.Base == version
 			switch {
 			case op.Read && op.Saw == version:
 				return []any{version}
 			case op.Read:
 				return nil
-			case op.Unknown && fits:
+			case op.Unknown && baseIsCurrent:
 				return []any{version, version + 1}
 			case op.Unknown:
 				return []any{version}
-			case op.Accepted && fits:
+			case op.Accepted && baseIsCurrent:
 				return []any{version + 1}
-			case op.Accepted || fits:
+			case op.Accepted || baseIsCurrent:
 				return nil
 			}
 			return []any{version}
@@ -65,7 +66,7 @@
 	return m.ToModel()
 }
 
-// ClaimOp is one attempt to claim a key under a token.
+// ClaimOp is one attempt to claim a key with a token.
 type ClaimOp struct {
 	Client  int
 	Call    int64
@@ -76,8 +77,8 @@
 	Unknown bool
 }
 
-// ClaimsLinearizable checks that each key has one winner: a claim is won when
-// the key is free or holds the same token, and lost otherwise.
+// ClaimsLinearizable reports whether claims are linearizable: a claim is won if
+// the key is free or claimed with the same token, and lost otherwise.
 func ClaimsLinearizable(ops []ClaimOp) bool {
 	return porcupine.CheckOperations(claimModel(), operations(ops, func(op ClaimOp) (int, int64, int64) {
 		return op.Client, op.Call, op.Return
@@ -90,15 +91,15 @@
 		Init:      func() []any { return []any{""} },
 		Step: func(state, input, _ any) []any {
 			owner, op := state.(string), input.(ClaimOp)
-			free := owner == "" || owner == op.Token
+			claimable := owner == "" || owner == op.Token
 			switch {
-			case op.Unknown && free:
+			case op.Unknown && claimable:
 				return []any{owner, op.Token}
 			case op.Unknown:
 				return []any{owner}
-			case op.Won && free:
+			case op.Won && claimable:
 				return []any{op.Token}
-			case op.Won || free:
+			case op.Won || claimable:
 				return nil
 			}
 			return []any{owner}
@@ -109,14 +110,14 @@
 }
 
 func partitionByKey(ops []porcupine.Operation) [][]porcupine.Operation {
-	at := map[string]int{}
+	indexByKey := map[string]int{}
 	var out [][]porcupine.Operation
 	for _, op := range ops {
 		key := op.Input.(ClaimOp).Key
-		i, ok := at[key]
+		i, ok := indexByKey[key]
 		if !ok {
 			i = len(out)
-			at[key] = i
+			indexByKey[key] = i
 			out = append(out, nil)
 		}
 		out[i] = append(out[i], op)
