--- a/test/platform/explain_test.go
+++ b/test/platform/explain_test.go
@@ -11,9 +11,9 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// story reads the logs of all hosts and finds a request in them. Lines are
-// written in the background, a moment after the answer; g lets its caller wait.
-func (s *site) story(g Gomega, request string) explain.Story {
+// explanation finds a request in the logs of all hosts. Hosts write log lines in the
+// background after the answer, so it fails through g, which lets Eventually retry.
+func (s *site) explanation(g Gomega, request string) explain.Story {
 	var text []byte
 	for _, h := range s.hosts {
 		text = append(text, h.session.Out.Contents()...)
@@ -26,20 +26,20 @@
 }
 
 var _ = Describe("explaining a failed request from the logs alone", func() {
-	It("names a server whose answers are lost", func() {
+	It("reports a server whose answers are lost", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 1, apps: 1})
 		s.servers[1].SetFault(standin.Fault{LoseAnswer: true})
 		r := s.send(s.hosts[0], confirm())
 		Expect(r.Status).To(Equal(http.StatusBadGateway))
 		Eventually(func(g Gomega) {
-			story := s.story(g, r.Attempt)
-			g.Expect(story.Cause()).To(ContainSubstring("may have run"))
-			g.Expect(story.Request[0].Name).To(Equal("server_lost"))
-			g.Expect(story.Request[0].Server).To(MatchRegexp(`^i-app0@\d+$`), "the server and its start")
+			explanation := s.explanation(g, r.Attempt)
+			g.Expect(explanation.Cause()).To(ContainSubstring("may have run"))
+			g.Expect(explanation.Request[0].Name).To(Equal("server_lost"))
+			g.Expect(explanation.Request[0].Server).To(MatchRegexp(`^i-app0@\d+$`), "the server ID and its start time")
 		}).Should(Succeed())
 	})
 
-	It("names a quota", func() {
+	It("reports an exceeded quota", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		c := appraise()
 		c.Key, c.Prompt = standin.SmallKey, 9000
@@ -51,19 +51,19 @@
 		}
 		Expect(refused).NotTo(BeEmpty())
 		Eventually(func(g Gomega) {
-			g.Expect(s.story(g, refused).Cause()).To(ContainSubstring("more than its limit"))
+			g.Expect(s.explanation(g, refused).Cause()).To(ContainSubstring("more than its limit"))
 		}).Should(Succeed())
 	})
 
-	It("names servers that are all out of reach", func() {
+	It("reports that all servers are unreachable", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		s.servers[1].Close()
 		r := s.send(s.hosts[0], confirm())
 		Expect(r.Status).To(Equal(http.StatusServiceUnavailable))
 		Eventually(func(g Gomega) {
-			story := s.story(g, r.Attempt)
-			g.Expect(story.Cause()).To(Or(ContainSubstring("out of reach"), ContainSubstring("Overload")))
-			g.Expect(story.Request[0].Name).To(Equal("server_unreachable"))
+			explanation := s.explanation(g, r.Attempt)
+			g.Expect(explanation.Cause()).To(Or(ContainSubstring("out of reach"), ContainSubstring("Overload")))
+			g.Expect(explanation.Request[0].Name).To(Equal("server_unreachable"))
 		}).Should(Succeed())
 	})
 })
--- a/test/platform/fail_test.go
+++ b/test/platform/fail_test.go
@@ -15,26 +15,27 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// under runs f while a load is sent, and checks the promises after it.
-func (s *site) under(each time.Duration, f func()) {
+// duringLoad runs f while calls are sent at the interval, and then checks the promises.
+func (s *site) duringLoad(interval time.Duration, f func()) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer GinkgoRecover()
 		defer close(done)
-		s.load(each, stop)
+		s.load(interval, stop)
 	}()
 	f()
 	close(stop)
 	Eventually(done).WithTimeout(20 * time.Second).Should(BeClosed())
-	s.keepsPromises()
+	s.checkPromises()
 }
 
 var _ = Describe("hosts that fail", func() {
-	// Each host in turn is killed under load, so the home is among them. What
-	// ran must not run again, and nobody may be told that it did not run.
-	It("keeps its promises while every host is killed in turn", func() {
+	// Each host in turn is killed under load, including the home, the host that runs the
+	// scheduler. A request that ran must not run again, and no caller may be told that it
+	// did not run.
+	It("keep their promises while every host is killed in turn", func() {
 		s := newSite(siteOptions{hosts: 4, engines: 3, apps: 2})
-		s.under(10*time.Millisecond, func() {
+		s.duringLoad(10*time.Millisecond, func() {
 			for _, h := range s.hosts {
 				h.session.Kill()
 				Eventually(h.session.Exited).Should(BeClosed())
@@ -45,13 +46,13 @@
 			}
 		})
 		ok, all := s.answered()
-		// A host that is down refuses a quarter of the load for a part of the time.
+		// A host that is down refuses a quarter of the load for part of the time.
 		Expect(float64(ok)).To(BeNumerically(">", 0.7*float64(all)))
 	})
 
-	// A parent at a locker waits while the home is frozen: its connection is
-	// open, nothing comes. The other hosts must answer within the 600 ms.
-	It("goes on without a home that is frozen", func() {
+	// A frozen home keeps its connections open and sends nothing. The other hosts must
+	// answer within the callers' deadline of 600 ms.
+	It("continue to serve while the home is frozen", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 2, apps: 2})
 		for _, frozen := range s.hosts {
 			frozen.session.Signal(syscall.SIGSTOP)
@@ -67,16 +68,16 @@
 			frozen.session.Signal(syscall.SIGCONT)
 			time.Sleep(300 * time.Millisecond)
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
-	// Story: the home freezes, or loses its power. The others know it dead after three
-	// seconds, and in a burst each of them places by itself what little it may until then.
-	// They notice within a second that it does not answer, and the next of the ranking
-	// schedules for them.
-	It("has another home before the membership knows the first one dead", func() {
+	// The home freezes or loses its power. The membership declares it dead only after three
+	// seconds; until there is another home, each host may make only a few placements by
+	// itself, too few for a burst. The hosts must notice within a second that the home does
+	// not answer, and the next host in the ranking must take over.
+	It("have another home before the membership declares the first one dead", func() {
 		s := newSite(siteOptions{hosts: 5, engines: 2, apps: 2, largeFirst: true})
-		time.Sleep(3 * time.Second) // a host that has just started waits for its home
+		time.Sleep(3 * time.Second) // a host that has just started waits for the home
 		others := s.hosts[1:]
 		s.hosts[0].session.Signal(syscall.SIGSTOP)
 		frozen := time.Now()
@@ -94,23 +95,23 @@
 				}
 			}()
 		}
-		leader := func() bool {
+		hasNewHome := func() bool {
 			return slices.ContainsFunc(others, func(h *host) bool {
 				return strings.Contains(string(h.session.Out.Contents()), "servers=1.00")
 			})
 		}
-		Eventually(leader).WithTimeout(2 * time.Second).WithPolling(10 * time.Millisecond).Should(BeTrue())
+		Eventually(hasNewHome).WithTimeout(2 * time.Second).WithPolling(10 * time.Millisecond).Should(BeTrue())
 		Expect(time.Since(frozen)).To(BeNumerically("<", 2*time.Second))
 		s.hosts[0].session.Signal(syscall.SIGCONT)
 	})
 
-	// Story: a host stands still for seconds. Callers connect, send, and leave after a second.
-	// When it goes on it reads what they sent, and servers got requests that nobody waits for.
-	It("sends nothing on for callers that left while it stood still", func() {
+	// A host is paused while callers connect, send a request and give up. When it continues,
+	// it reads these requests and must not send them to servers, as no caller waits for them.
+	It("forward no request whose caller gave up while the host was paused", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 2, apps: 2})
 		h := s.hosts[0]
 		h.session.Signal(syscall.SIGSTOP)
-		Eventually(h.stopped).Should(BeTrue()) // what comes before that may be sent on
+		Eventually(h.stopped).Should(BeTrue()) // requests that arrive before may be forwarded
 		attempts := make(chan string, 40)
 		var calls sync.WaitGroup
 		for range cap(attempts) {
@@ -131,7 +132,7 @@
 		}
 	})
 
-	It("serves what it knows while the store is away", func() {
+	It("serve from their last known state while the store is unreachable", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 1, apps: 1})
 		s.store.SetDown(true)
 		time.Sleep(3 * time.Second) // longer than one call that waits for changes
@@ -141,7 +142,7 @@
 		}
 	})
 
-	It("learns what changed while the store forgot its history", func() {
+	It("learn of changes after the store has lost its change history", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		s.servers[1].Vanish()
 		s.store.Forget()
@@ -155,12 +156,12 @@
 })
 
 var _ = Describe("planned work", func() {
-	// A host is stopped while it answers. Callers that know it go on using it
-	// until it refuses; none of them may be cut off.
-	It("cuts nothing off when a host is stopped", func() {
+	// A host is shut down while it answers requests. Callers that know its address use it
+	// until it refuses connections; none of their requests may be interrupted.
+	It("interrupts no request when a host is shut down", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 3, apps: 2})
 		leaving := s.hosts[0]
-		s.under(10*time.Millisecond, func() {
+		s.duringLoad(10*time.Millisecond, func() {
 			time.Sleep(300 * time.Millisecond)
 			leaving.session.Terminate()
 			Eventually(func() int { return s.ready(leaving) }).WithTimeout(time.Second).ShouldNot(Equal(http.StatusOK))
@@ -178,9 +179,9 @@
 		}
 	})
 
-	It("cuts nothing off on SIGHUP", func() {
+	It("interrupts no request on SIGHUP", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
-		s.under(10*time.Millisecond, func() {
+		s.duringLoad(10*time.Millisecond, func() {
 			for range 5 {
 				s.hosts[0].session.Signal(syscall.SIGHUP)
 				time.Sleep(100 * time.Millisecond)
@@ -190,7 +191,7 @@
 		Expect(ok).To(Equal(all))
 	})
 
-	It("takes new servers and hosts in", func() {
+	It("starts to use new servers and hosts", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		added := &host{name: "front-new", ip: s.subnet + "100"}
 		s.hosts = append(s.hosts, added)
@@ -203,47 +204,47 @@
 	})
 })
 
-var _ = Describe("backend servers that start again under their names", func() {
-	// The only server of a service reports that it leaves, crashes, and starts again
-	// under its name and address. Callers are refused for want of a server though
-	// one is idle, when hosts go on taking it for the one that leaves.
-	It("serves with the new start after the one before was leaving", func() {
+var _ = Describe("backend servers that restart with the same ID", func() {
+	// The only server of a service reports that it is draining, crashes, and restarts with
+	// the same ID and address. If hosts take the new incarnation for the draining one, they
+	// reject callers although a server is idle.
+	It("are used again although their former incarnation was draining", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 1, apps: 1})
 		old := s.servers[1]
 		Expect(s.send(s.hosts[0], confirm()).Status).To(Equal(http.StatusOK))
 		old.Drain()
-		time.Sleep(300 * time.Millisecond) // all hosts have read it
+		time.Sleep(300 * time.Millisecond) // until all hosts have read the entry
 		old.Close()
 		s.addServer(old.Spec)
 		for _, h := range s.hosts {
 			Eventually(func() int { return s.send(h, confirm()).Status }).WithTimeout(3*time.Second).Should(Equal(http.StatusOK), h.name)
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
-	// The server crashes while streams run there, and is back under its name before
-	// its connections are missed. A stream that may be resumed goes on at the new
-	// start; nothing else of it may run twice.
-	It("goes on with what may be resumed and runs nothing else again", func() {
+	// The server crashes while it serves streams, and restarts with the same ID before hosts
+	// miss its connections. A stream that may be resumed continues at the new incarnation;
+	// no other request may run twice.
+	It("continue resumable streams and run no other request again", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 2, apps: 1, engine: standin.ServerSpec{PerEvent: 20 * time.Millisecond}})
-		s.under(20*time.Millisecond, func() {
+		s.duringLoad(20*time.Millisecond, func() {
 			for range 3 {
 				time.Sleep(400 * time.Millisecond)
 				old := s.servers[0]
 				old.Close()
-				again, err := standin.StartServer(s.store, old.Spec)
+				restarted, err := standin.StartServer(s.store, old.Spec)
 				Expect(err).NotTo(HaveOccurred())
 				s.mu.Lock()
-				s.left, s.servers[0] = append(s.left, old), again
+				s.replaced, s.servers[0] = append(s.replaced, old), restarted
 				s.mu.Unlock()
 			}
 			time.Sleep(400 * time.Millisecond)
 		})
 	})
 
-	// Somebody else writes into the table of servers: before, between and behind the
-	// others, and over one of them. Callers must not notice.
-	It("uses no entry that another writer left", func() {
+	// Another writer puts entries into the table of servers: before, between and after the
+	// others, and over one of them. Callers must not be affected.
+	It("use no entry of another writer", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 1, apps: 2})
 		for _, key := range []string{"0", "i-between", "~"} {
 			s.store.Put("servers", key, map[string]any{"service": standin.AppName, "state": "ready", "slots": "6"})
@@ -259,6 +260,6 @@
 				Expect(s.send(h, confirm()).Status).To(Equal(http.StatusOK))
 			}
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 })
--- a/test/platform/fatal_test.go
+++ b/test/platform/fatal_test.go
@@ -21,73 +21,73 @@
 
 const (
 	fatalBody = "fatal"
-	// restartTime is how long an engine is away after its end, entryLapse how long the
-	// store lists it then.
-	restartTime = 1500 * time.Millisecond
-	entryLapse  = 3 * time.Second
-	// learnTime and fatalRetries bound the sends of a request that ends servers: three
-	// ends may be needed to know it, and later than learnTime after the third it may
-	// reach three more servers at most.
-	learnTime    = 3 * time.Second
-	fatalRetries = 3
+	// restartDelay is the time from the crash of a server to its restart, entryTTL the time
+	// for which the store still lists the crashed one.
+	restartDelay = 1500 * time.Millisecond
+	entryTTL     = 3 * time.Second
+	// detectionTime and fatalRetries limit the runs of a request that crashes servers: up to
+	// three crashes may be needed to detect it, and later than detectionTime after the third
+	// run it may reach at most three more servers.
+	detectionTime = 3 * time.Second
+	fatalRetries  = 3
 )
 
-// engineRoom starts engines anew that ended under a request. mu guards its fields.
-type engineRoom struct {
-	mu   sync.Mutex
-	site *site
-	ends []time.Time
-	// mended is set when engines bear the fatal request.
-	mended bool
+// serverRestarter restarts servers that a request crashed. mu guards its fields.
+type serverRestarter struct {
+	mu      sync.Mutex
+	site    *site
+	crashes []time.Time
+	// fixed is set when servers no longer crash under the fatal request.
+	fixed bool
 }
 
-// newFatalSite starts a site whose engines end under fatalBody.
-func newFatalSite(o siteOptions) (*site, *engineRoom) {
-	room := &engineRoom{}
-	o.engine.FatalBody, o.engine.Ended = fatalBody, room.ended
+// newFatalSite starts a site whose servers crash under a request with fatalBody.
+func newFatalSite(o siteOptions) (*site, *serverRestarter) {
+	restarter := &serverRestarter{}
+	o.engine.FatalBody, o.engine.Ended = fatalBody, restarter.handleCrash
 	s := newSite(o)
-	room.mu.Lock()
-	defer room.mu.Unlock()
-	room.site = s
-	return s, room
+	restarter.mu.Lock()
+	defer restarter.mu.Unlock()
+	restarter.site = s
+	return s, restarter
 }
 
-func (r *engineRoom) ended(old *standin.Server) {
+func (r *serverRestarter) handleCrash(old *standin.Server) {
 	r.mu.Lock()
-	r.ends = append(r.ends, time.Now())
-	next := fmt.Sprintf("%s-%d", old.Spec.ID, len(r.ends))
+	r.crashes = append(r.crashes, time.Now())
+	next := fmt.Sprintf("%s-%d", old.Spec.ID, len(r.crashes))
 	r.mu.Unlock()
-	time.AfterFunc(entryLapse, old.Expire)
-	time.AfterFunc(restartTime, func() { r.restart(old, next) })
+	time.AfterFunc(entryTTL, old.Expire)
+	time.AfterFunc(restartDelay, func() { r.restart(old, next) })
 }
 
-func (r *engineRoom) restart(old *standin.Server, id string) {
+func (r *serverRestarter) restart(old *standin.Server, id string) {
 	spec := old.Spec
 	spec.ID, spec.Address = id, "127.0.0.1:0"
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.mended {
+	if r.fixed {
 		spec.FatalBody = ""
 	}
 	if srv, err := standin.StartServer(r.site.store, spec); err == nil {
-		r.site.replace(old, srv)
+		r.site.recordReplacement(old, srv)
 	}
 }
 
-// replace lists a server in the place of one that ended.
-func (s *site) replace(old, started *standin.Server) {
+// recordReplacement lists the server started in place of old, which has ended.
+func (s *site) recordReplacement(old, started *standin.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = append(s.left, old)
+	s.replaced = append(s.replaced, old)
 	i := slices.Index(s.servers, old)
 	s.servers[i] = started
 }
 
-// mend has engines that start from now on bear the fatal request.
-func (r *engineRoom) mend() {
+// fixServers makes all servers, also those that start later, survive the fatal request.
+func (r *serverRestarter) fixServers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mended = true
+	r.fixed = true
 	r.site.mu.Lock()
 	defer r.site.mu.Unlock()
 	for _, srv := range r.site.servers {
@@ -95,8 +95,8 @@
 	}
 }
 
-// endAll ends all engines at once.
-func (r *engineRoom) endAll() {
+// crashAllEngines ends all engines at once and schedules their restarts.
+func (r *serverRestarter) crashAllEngines() {
 	r.site.mu.Lock()
 	servers := slices.Clone(r.site.servers)
 	r.site.mu.Unlock()
@@ -107,22 +107,22 @@
 	}
 	for _, srv := range servers {
 		if srv.Spec.Streams {
-			r.ended(srv)
+			r.handleCrash(srv)
 		}
 	}
 }
 
-func (r *engineRoom) count() int {
+func (r *serverRestarter) crashCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.ends)
+	return len(r.crashes)
 }
 
-// runsOfBody lists when requests with a body began to run, in order of time.
+// runsOfBody returns the start times of the runs of requests with body, in ascending order.
 func (s *site) runsOfBody(body string) (at []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, srv := range slices.Concat(s.servers, s.left) {
+	for _, srv := range slices.Concat(s.servers, s.replaced) {
 		for _, run := range srv.Runs() {
 			if run.Body == body {
 				at = append(at, run.At)
@@ -133,40 +133,40 @@
 	return at
 }
 
-// lateRuns counts the runs later than learnTime after the third.
+// lateRuns counts the runs that start later than detectionTime after the third one.
 func lateRuns(runs []time.Time) int {
 	if len(runs) <= fatalRetries {
 		return 0
 	}
-	bound := runs[2].Add(learnTime)
+	bound := runs[2].Add(detectionTime)
 	return len(runs) - slices.IndexFunc(append(runs, bound.Add(time.Hour)), bound.Before)
 }
 
-func fatal() standin.Call {
+func fatalCall() standin.Call {
 	c := digest()
 	c.Body = fatalBody
 	return c
 }
 
-// keepSending sends the fatal request by each host in turn until stop is closed, as its
-// callers come again, and returns the newest reply of each host.
-func (s *site) keepSending(each time.Duration, stop <-chan struct{}) []standin.Reply {
+// keepSending sends the fatal request to each host in turn until stop is closed, as retrying
+// callers do, and returns the latest reply of each host.
+func (s *site) keepSending(interval time.Duration, stop <-chan struct{}) []standin.Reply {
 	replies := make([]standin.Reply, len(s.hosts))
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return replies
-		case <-time.After(each):
-			replies[i%len(s.hosts)] = s.send(s.hosts[i%len(s.hosts)], fatal())
+		case <-time.After(interval):
+			replies[i%len(s.hosts)] = s.send(s.hosts[i%len(s.hosts)], fatalCall())
 		}
 	}
 }
 
-// sendUntilRefused sends the fatal request by each host in turn until it is told that it
+// sendUntilRefused sends the fatal request to each host in turn until a reply says that it
 // is in quarantine.
 func (s *site) sendUntilRefused() {
 	for i := 0; ; i++ {
-		r := s.send(s.hosts[i%len(s.hosts)], fatal())
+		r := s.send(s.hosts[i%len(s.hosts)], fatalCall())
 		if inQuarantine(r) {
 			return
 		}
@@ -175,10 +175,10 @@
 	}
 }
 
-// knownEverywhere waits until all hosts know that the request is in quarantine. A home that
-// stands still or ends in the millisecond before it has told leaves it to the others to hold
-// the request back, which they do without naming quarantine.
-func (s *site) knownEverywhere() {
+// waitForQuarantineEverywhere waits until all hosts know that the request is in quarantine.
+// If the home is paused or ends in the millisecond before it notifies them, the other hosts
+// hold the request back by themselves, but their refusals do not mention quarantine.
+func (s *site) waitForQuarantineEverywhere() {
 	for _, h := range s.hosts {
 		Eventually(func() string { return string(h.session.Out.Contents()) }).Should(ContainSubstring("request_quarantined"), h.name)
 	}
@@ -188,15 +188,17 @@
 	return r.Status == http.StatusServiceUnavailable && strings.Contains(r.Body, "quarantined")
 }
 
-// refusedBy expects that a host refuses the fatal request, and that no engine gets it.
-func (s *site) refusedBy(h *host) {
+// expectRefusal checks that a host refuses the fatal request as quarantined and that it does
+// not run.
+func (s *site) expectRefusal(h *host) {
 	before := len(s.runsOfBody(fatalBody))
-	Expect(inQuarantine(s.send(h, fatal()))).To(BeTrue(), h.name)
+	Expect(inQuarantine(s.send(h, fatalCall()))).To(BeTrue(), h.name)
 	Expect(s.runsOfBody(fatalBody)).To(HaveLen(before), h.name)
 }
 
-// killAll kills all hosts at once and starts them anew.
-func (s *site) killAll() {
+// killAndRestartAll kills all hosts at once, restarts them and waits until they are ready and
+// there is a home.
+func (s *site) killAndRestartAll() {
 	for _, h := range s.hosts {
 		h.session.Kill()
 	}
@@ -210,22 +212,22 @@
 	Eventually(s.hasHome).Should(BeTrue())
 }
 
-// stored counts the rows that the store keeps of requests in quarantine.
-func (s *site) stored() int {
-	rows, _, err := platform.NewStore(s.address).Snapshot(context.Background(), platform.QuarantineTable)
+// quarantineRows counts the rows of quarantined requests in the store.
+func (s *site) quarantineRows() int {
+	rows, _, err := platform.NewStore(s.storeAddress).Snapshot(context.Background(), platform.QuarantineTable)
 	Expect(err).NotTo(HaveOccurred())
 	return len(rows)
 }
 
-var _ = Describe("a request that ends the servers which run it", func() {
-	// Story: a poem's review crashes the engine that begins to run it. Its caller sends it
-	// again, under a new id, to whatever host it is told of; each host passes it on to the
-	// next engine. One engine after the other ends, with all that runs there, and as soon
-	// as one is back it ends again. Nothing outlived an attempt, so nobody knew.
-	It("is not sent on once it has ended three", func() {
-		s, room := newFatalSite(siteOptions{hosts: 3, engines: 6, apps: 1})
+var _ = Describe("a request that crashes the servers which run it", func() {
+	// A request crashes the engine that begins to run it. Its caller retries it with a new ID
+	// at any host, and each host sends it to the next engine. Engine after engine crashes with
+	// all requests that it runs, and crashes again after its restart. This happens when hosts
+	// keep nothing of a request beyond an attempt.
+	It("is not sent any more once it has crashed three", func() {
+		s, restarter := newFatalSite(siteOptions{hosts: 3, engines: 6, apps: 1})
 		var replies []standin.Reply
-		s.under(20*time.Millisecond, func() {
+		s.duringLoad(20*time.Millisecond, func() {
 			stop, done := make(chan struct{}), make(chan []standin.Reply, 1)
 			go func() {
 				defer GinkgoRecover()
@@ -236,125 +238,127 @@
 			Eventually(done).WithTimeout(10 * time.Second).Should(Receive(&replies))
 		})
 		runs := s.runsOfBody(fatalBody)
-		Expect(room.count()).To(BeNumerically(">=", 3), "the request ends engines")
+		Expect(restarter.crashCount()).To(BeNumerically(">=", 3), "the request crashes engines")
 		Expect(lateRuns(runs)).To(BeNumerically("<=", fatalRetries), "%d runs", len(runs))
 		for _, r := range replies {
 			Expect(r.Status).To(Equal(http.StatusServiceUnavailable))
-			Expect(r.RetryAfter).To(BeNumerically(">", learnTime))
+			Expect(r.RetryAfter).To(BeNumerically(">", detectionTime))
 		}
 	})
 
-	// Story: a plain call crashes the copy of the service that runs it. It may not be repeated
-	// by us, and its caller comes again; with three copies the whole service is down.
-	It("is not sent on to plain services either", func() {
-		s, room := newFatalSite(siteOptions{hosts: 3, engines: 1, apps: 5})
+	// A plain call crashes the server that runs it. Hosts may not retry it, but its caller
+	// does; a service of three servers would be down entirely.
+	It("is not sent any more to plain services either", func() {
+		s, restarter := newFatalSite(siteOptions{hosts: 3, engines: 1, apps: 5})
 		call := confirm()
 		call.Body = fatalBody
-		s.under(20*time.Millisecond, func() {
+		s.duringLoad(20*time.Millisecond, func() {
 			for i := range 60 {
 				s.send(s.hosts[i%3], call)
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
 		Expect(inQuarantine(s.send(s.hosts[0], call))).To(BeTrue())
-		Expect(room.count()).To(Equal(3))
+		Expect(restarter.crashCount()).To(Equal(3))
 	})
 
-	// Story: five callers send the same request at once, by different hosts. Were all
-	// copies sent on, five engines would end before anybody knew.
-	It("runs one copy at a time once it has ended a server", func() {
-		s, room := newFatalSite(siteOptions{hosts: 3, engines: 6, apps: 1})
-		s.send(s.hosts[0], fatal())
+	// Five callers send the same request at once through different hosts. If all copies were
+	// sent, five engines would crash before the request is detected.
+	It("runs one copy at a time once it has crashed a server", func() {
+		s, restarter := newFatalSite(siteOptions{hosts: 3, engines: 6, apps: 1})
+		s.send(s.hosts[0], fatalCall())
 		Eventually(func() string { return string(s.hosts[0].session.Out.Contents()) }).Should(ContainSubstring("server_ended"))
-		time.Sleep(100 * time.Millisecond) // word of it is on its way to the home
-		s.under(20*time.Millisecond, func() {
+		time.Sleep(100 * time.Millisecond) // until the report has reached the home
+		s.duringLoad(20*time.Millisecond, func() {
 			var copies sync.WaitGroup
 			for i := range 5 {
 				copies.Go(func() {
 					defer GinkgoRecover()
-					s.send(s.hosts[i%3], fatal())
+					s.send(s.hosts[i%3], fatalCall())
 				})
 			}
 			copies.Wait()
 		})
-		Expect(room.count()).To(BeNumerically("<=", 3))
+		Expect(restarter.crashCount()).To(BeNumerically("<=", 3))
 	})
 
-	// Story: the host that knew which request it was loses its power. The next home must
-	// know, and so must hosts that have none yet.
-	It("is known when the home is lost or frozen", func() {
+	// The home that put the request in quarantine is lost. The next home must refuse the
+	// request, and so must hosts that do not follow a home yet.
+	It("stays in quarantine when the home is lost or frozen", func() {
 		s, _ := newFatalSite(siteOptions{hosts: 4, engines: 5, apps: 1, largeFirst: true})
 		s.sendUntilRefused()
-		s.knownEverywhere()
+		s.waitForQuarantineEverywhere()
 		s.hosts[0].session.Signal(syscall.SIGSTOP)
 		for _, h := range s.hosts[1:] {
-			s.refusedBy(h)
+			s.expectRefusal(h)
 		}
 		s.hosts[0].session.Signal(syscall.SIGCONT).Kill()
 		for range 10 {
 			time.Sleep(100 * time.Millisecond)
 			for _, h := range s.hosts[1:] {
-				s.refusedBy(h)
+				s.expectRefusal(h)
 			}
 		}
 	})
 
-	// Story: all hosts lose their power at once, also while the store is away. None
-	// remembers anything; the request would end three more engines each time.
-	It("is known to hosts that start anew, once the store has it", func() {
+	// All hosts lose their power at once, after the request was quarantined while the store was
+	// unreachable. The restarted hosts have no state in memory, so without the row in the
+	// store the request would crash three more engines each time.
+	It("stays in quarantine when all hosts restart, once the store has it", func() {
 		s, _ := newFatalSite(siteOptions{hosts: 3, engines: 5, apps: 1})
 		s.store.SetDown(true)
 		s.sendUntilRefused()
 		s.store.SetDown(false)
-		Eventually(s.stored).Should(Equal(1))
-		s.killAll()
-		ended := len(s.runsOfBody(fatalBody))
-		time.Sleep(500 * time.Millisecond) // the new home reads what the store keeps
+		Eventually(s.quarantineRows).Should(Equal(1))
+		s.killAndRestartAll()
+		runsBefore := len(s.runsOfBody(fatalBody))
+		time.Sleep(500 * time.Millisecond) // until the new home has read the store
 		for _, h := range s.hosts {
-			s.refusedBy(h)
+			s.expectRefusal(h)
 		}
-		Expect(s.runsOfBody(fatalBody)).To(HaveLen(ended))
+		Expect(s.runsOfBody(fatalBody)).To(HaveLen(runsBefore))
 	})
 
-	// Story: the home puts the request in quarantine while the store is away, and is lost before it could
-	// write that down. The other hosts know; later all of them start anew at once.
-	It("is written down by the next home when the first could not", func() {
+	// The home puts the request in quarantine while the store is unreachable, and is lost
+	// before it can write the row. The other hosts know of the quarantine but would lose it if
+	// all of them restarted at once, so the next home must write the row.
+	It("is written to the store by the next home when the first could not", func() {
 		s, _ := newFatalSite(siteOptions{hosts: 3, engines: 5, apps: 1, largeFirst: true})
 		time.Sleep(3 * time.Second) // a host that has just started waits for its home
 		s.store.SetDown(true)
 		s.sendUntilRefused()
-		s.knownEverywhere()
+		s.waitForQuarantineEverywhere()
 		s.hosts[0].session.Kill()
 		Eventually(s.hosts[0].session.Exited).Should(BeClosed())
 		time.Sleep(time.Second) // until there is another home
 		for _, h := range s.hosts[1:] {
-			s.refusedBy(h)
+			s.expectRefusal(h)
 		}
 		s.store.SetDown(false)
-		Eventually(s.stored).WithTimeout(15 * time.Second).Should(Equal(1))
+		Eventually(s.quarantineRows).WithTimeout(15 * time.Second).Should(Equal(1))
 	})
 
-	// Story: the engines were mended. The operator releases the request; until then it is
-	// refused, and after it its callers get their answers again.
+	// The engines were fixed. The request is refused until the operator releases it; after
+	// that its callers get answers again.
 	It("runs again when an operator releases it", func() {
-		s, room := newFatalSite(siteOptions{hosts: 2, engines: 5, apps: 1})
+		s, restarter := newFatalSite(siteOptions{hosts: 2, engines: 5, apps: 1})
 		s.sendUntilRefused()
-		Eventually(s.stored).Should(Equal(1))
-		room.mend()
-		rows, _, err := platform.NewStore(s.address).Snapshot(context.Background(), platform.QuarantineTable)
+		Eventually(s.quarantineRows).Should(Equal(1))
+		restarter.fixServers()
+		rows, _, err := platform.NewStore(s.storeAddress).Snapshot(context.Background(), platform.QuarantineTable)
 		Expect(err).NotTo(HaveOccurred())
 		released, err := quarantine.Row{Released: true}.Encode()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(platform.NewStore(s.address).Put(context.Background(), platform.QuarantineTable, rows[0].Key, released)).To(Succeed())
-		Eventually(func() int { return s.send(s.hosts[0], fatal()).Status }).WithTimeout(15 * time.Second).Should(Equal(http.StatusOK))
-		Eventually(s.stored).Should(BeZero())
+		Expect(platform.NewStore(s.storeAddress).Put(context.Background(), platform.QuarantineTable, rows[0].Key, released)).To(Succeed())
+		Eventually(func() int { return s.send(s.hosts[0], fatalCall()).Status }).WithTimeout(15 * time.Second).Should(Equal(http.StatusOK))
+		Eventually(s.quarantineRows).Should(BeZero())
 	})
 
-	// Story: all engines of a service end at the same moment, again and again, for a reason
-	// of their own. A caller whose long answer is cut off each time comes again and must
-	// not be taken for the cause, at its first try or its fourth.
-	It("is not mistaken for one that is there whenever all servers end", func() {
-		s, room := newFatalSite(siteOptions{hosts: 2, engines: 4, apps: 1, engine: standin.ServerSpec{PerEvent: 50 * time.Millisecond}})
+	// All engines of a service repeatedly end at the same moment, for a reason unrelated to
+	// requests. A caller whose long answer is interrupted each time retries, and its request
+	// must not be taken for the cause, neither at the first attempt nor at the fourth.
+	It("is not confused with one that runs whenever all servers end", func() {
+		s, restarter := newFatalSite(siteOptions{hosts: 2, engines: 4, apps: 1, engine: standin.ServerSpec{PerEvent: 50 * time.Millisecond}})
 		for round := range 5 {
 			var calls sync.WaitGroup
 			for i := range 8 {
@@ -367,18 +371,19 @@
 				})
 			}
 			time.Sleep(500 * time.Millisecond)
-			room.endAll()
+			restarter.crashAllEngines()
 			calls.Wait()
-			time.Sleep(restartTime + time.Second)
+			time.Sleep(restartDelay + time.Second)
 		}
-		Expect(s.stored()).To(BeZero())
+		Expect(s.quarantineRows()).To(BeZero())
 	})
 
-	// Story: hosts are killed, frozen and restarted and the store goes away while the
-	// request comes again and again. When all is well it reaches three engines more at most.
-	It("stays known, or is soon known again, under faults of hosts and store", func() {
+	// Hosts are killed, frozen and restarted and the store is unreachable at times while
+	// callers keep retrying the request. After the faults it may reach at most three more
+	// engines.
+	It("stays in quarantine, or soon returns to it, under faults of hosts and store", func() {
 		faults := []func(*soak) string{
-			(*soak).killHost, (*soak).pauseHost, (*soak).restartHost, (*soak).reload, (*soak).forget, (*soak).storeAway,
+			(*soak).killHost, (*soak).pauseHost, (*soak).restartHost, (*soak).reloadSettings, (*soak).loseStoreHistory, (*soak).takeStoreDown,
 		}
 		for _, seed := range soakSeeds() {
 			By(fmt.Sprint("seed ", seed))
@@ -389,13 +394,13 @@
 				defer GinkgoRecover()
 				done <- s.keepSending(100*time.Millisecond, stop)
 			}()
-			k.under(20*time.Millisecond, func() {
+			k.duringLoad(20*time.Millisecond, func() {
 				k.runOf(faults, soakLength())
-				k.wellAgain(seed)
-				time.Sleep(learnTime)
+				k.waitForRecovery(seed)
+				time.Sleep(detectionTime)
 			})
 			before := len(s.runsOfBody(fatalBody))
-			time.Sleep(2 * learnTime)
+			time.Sleep(2 * detectionTime)
 			close(stop)
 			Eventually(done).WithTimeout(10 * time.Second).Should(Receive())
 			after := len(s.runsOfBody(fatalBody))
--- a/test/platform/join_test.go
+++ b/test/platform/join_test.go
@@ -11,14 +11,14 @@
 )
 
 var _ = Describe("hosts that start", func() {
-	// Story: half of the hosts are killed and come back. Each asked the store for the
-	// hosts, the configuration and the servers, and wrote a row of its own; with
-	// hundreds of hosts the store was busy with them for seconds, and each call is paid.
-	// Cause: a host knew nobody to ask but the store.
-	It("learn all from the hosts that run, not from the store", func() {
+	// Hosts are killed and restart. If each of them reads the hosts, the configuration and the
+	// servers from the store and writes a row of its own, a restart of half of several
+	// hundred hosts keeps the store busy for seconds, and each call is paid for. This happens
+	// when a starting host can ask nothing but the store.
+	It("get their state from running hosts, not from the store", func() {
 		s := newSite(siteOptions{hosts: 6, engines: 1, apps: 1, largeFirst: true})
-		time.Sleep(time.Second) // at the start two hosts may read for all
-		const homeCalls = 3.0   // a second, of the one that reads for all
+		time.Sleep(time.Second) // at the start two hosts may read the store for all
+		const homeCalls = 3.0   // calls per second of the host that reads the store for all
 		begun, calls := time.Now(), s.store.Calls()
 		for _, h := range s.hosts[1:] {
 			h.session.Signal(syscall.SIGKILL)
@@ -29,13 +29,13 @@
 			Eventually(func() int { return s.ready(h) }).Should(Equal(http.StatusOK), h.name)
 			Eventually(func() int { return len(s.lookup(h)) }).Should(Equal(len(s.hosts)), h.name)
 		}
-		most := homeCalls*time.Since(begun).Seconds() + 2
-		Expect(s.store.Calls() - calls).To(BeNumerically("<=", int(most)))
+		maxCalls := homeCalls*time.Since(begun).Seconds() + 2
+		Expect(s.store.Calls() - calls).To(BeNumerically("<=", int(maxCalls)))
 	})
 
-	// Story: the seeds that a host was given are gone for good. It must find the others
-	// by the row that their home keeps in the store.
-	It("find the others by the store when their seeds are gone", func() {
+	// The seeds in a host's settings are gone for good. The host must find the others by the
+	// row that the home keeps in the store.
+	It("find the others through the store when their seeds are gone", func() {
 		s := newSite(siteOptions{hosts: 5, engines: 1, apps: 1})
 		gone := s.hosts[:3]
 		for _, h := range gone {
--- a/test/platform/leave_test.go
+++ b/test/platform/leave_test.go
@@ -13,11 +13,11 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// drainTime is how long after the store has acknowledged that a server leaves it may still get
-// requests, as the settings of the hosts say.
+// drainTime is how long a server may still get requests after the store has acknowledged that
+// it leaves. It equals the drain time in the hosts' settings.
 const drainTime = 2 * time.Second
 
-// runsAt lists when a server ran calls that were sent to some hosts.
+// runsAt returns the start times of the runs of the given attempts at a server.
 func (s *site) runsAt(srv *standin.Server, attempts []string) (at []time.Time) {
 	for _, run := range srv.Runs() {
 		if slices.Contains(attempts, run.Attempt) {
@@ -27,25 +27,27 @@
 	return at
 }
 
-// logged is how much a host has logged.
-func (h *host) logged() int { return len(h.session.Out.Contents()) }
+// logLength returns the size of a host's log in bytes.
+func (h *host) logLength() int { return len(h.session.Out.Contents()) }
 
-// drops waits until a host has logged, behind from, that a server leaves or is gone.
-func (h *host) drops(srv *standin.Server, from int) {
+// expectDropped waits until a host has logged, after offset from of its log, that a server is
+// draining or gone.
+func (h *host) expectDropped(srv *standin.Server, from int) {
 	line := regexp.MustCompile("name=servers_changed [^\n]*server=" + srv.Spec.ID + "@[^\n]*detail=(gone|\"draining)")
 	Eventually(func() bool { return line.Match(h.session.Out.Contents()[from:]) }).
-		WithTimeout(drainTime).WithPolling(20*time.Millisecond).Should(BeTrue(), h.name+" goes on using "+srv.Spec.ID)
+		WithTimeout(drainTime).WithPolling(20*time.Millisecond).Should(BeTrue(), h.name+" still uses "+srv.Spec.ID)
 }
 
 var _ = Describe("servers that leave while the store turns the home and other readers away", func() {
-	// Guards against servers that get work seconds after they have left, from hosts that the
-	// store answers all along.
-	DescribeTable("get nothing after their time",
+	// The home and the other hosts that read the store for all cannot reach it, the remaining
+	// hosts can. If these wait for the readers' reports, they send requests to servers seconds
+	// after these have left.
+	DescribeTable("get no requests after the drain time",
 		func(how mode) {
-			const hosts, engines = 8, 1 // more hosts than read the store for all
+			const hosts, engines = 8, 1 // more hosts than read the store for others
 			s := newSite(siteOptions{hosts: hosts, engines: engines, apps: 9, large: hosts - 2, ownStores: true})
-			time.Sleep(time.Second) // hosts that have just started learn who reads for whom
-			inTouch := s.hosts[hosts-2:]
+			time.Sleep(time.Second) // until the hosts know which of them read the store for others
+			connected := s.hosts[hosts-2:]
 			for _, p := range s.proxies[:hosts-2] {
 				p.set(how)
 			}
@@ -59,7 +61,7 @@
 						case <-stop:
 							return
 						case <-time.After(10 * time.Millisecond):
-							if reply := s.send(h, check()); slices.Contains(inTouch, h) {
+							if reply := s.send(h, check()); slices.Contains(connected, h) {
 								attempts <- reply.Attempt
 							}
 						}
@@ -67,29 +69,29 @@
 				}()
 			}
 			time.Sleep(500 * time.Millisecond)
-			left := map[*standin.Server]time.Time{}
+			leftAt := map[*standin.Server]time.Time{}
 			var drops sync.WaitGroup
-			leaves := func(srv *standin.Server, how func(*standin.Server)) {
-				for _, h := range inTouch {
-					from := h.logged()
+			leave := func(srv *standin.Server, how func(*standin.Server)) {
+				for _, h := range connected {
+					from := h.logLength()
 					drops.Go(func() {
 						defer GinkgoRecover()
-						h.drops(srv, from)
+						h.expectDropped(srv, from)
 					})
 				}
 				how(srv)
-				left[srv] = time.Now()
+				leftAt[srv] = time.Now()
 			}
 			apps := s.servers[engines:]
-			leaves(apps[0], (*standin.Server).Vanish)
-			leaves(apps[1], (*standin.Server).Drain)
+			leave(apps[0], (*standin.Server).Vanish)
+			leave(apps[1], (*standin.Server).Drain)
 			time.Sleep(4 * time.Second)
 			for _, p := range s.proxies {
 				p.set(pass)
 			}
-			for _, srv := range apps[2:7] { // the readers hear of the store again meanwhile
+			for _, srv := range apps[2:7] { // meanwhile the readers reach the store again
 				time.Sleep(300 * time.Millisecond)
-				leaves(srv, (*standin.Server).Vanish)
+				leave(srv, (*standin.Server).Vanish)
 			}
 			drops.Wait()
 			time.Sleep(drainTime)
@@ -99,43 +101,44 @@
 				sent = append(sent, <-attempts)
 			}
 			Expect(len(sent)).To(BeNumerically(">", 300))
-			for srv, since := range left {
+			for srv, since := range leftAt {
 				for _, at := range s.runsAt(srv, sent) {
 					Expect(at.Sub(since)).To(BeNumerically("<", drainTime), srv.Spec.ID)
 				}
 			}
-			s.keepsPromises()
+			s.checkPromises()
 		},
-		Entry("when it says nothing", silent),
+		Entry("when it does not answer", silent),
 		Entry("when it resets connections", reset),
 	)
 })
 
 var _ = Describe("servers that leave while the home and the next readers stand still", func() {
-	// Guards against servers that get work after their time: the others wait for the word of
-	// hosts that stand still, and dial one after the other in vain.
-	It("are dropped in time by the hosts that go on", func() {
-		const hosts, still, engines = 6, 3, 1
-		s := newSite(siteOptions{hosts: hosts, engines: engines, apps: 4, large: still})
-		time.Sleep(3 * time.Second) // hosts that have just started learn who reads for whom
-		for _, h := range s.hosts[:still] {
+	// The home and the hosts next in line to read the store are paused. If the other hosts wait
+	// for their reports and dial one after the other in vain, they send requests to servers
+	// after the drain time.
+	It("are dropped in time by the hosts that still run", func() {
+		const hosts, paused, engines = 6, 3, 1
+		s := newSite(siteOptions{hosts: hosts, engines: engines, apps: 4, large: paused})
+		time.Sleep(3 * time.Second) // until the hosts know which of them read the store for others
+		for _, h := range s.hosts[:paused] {
 			h.session.Signal(syscall.SIGSTOP)
 		}
-		for _, h := range s.hosts[:still] {
+		for _, h := range s.hosts[:paused] {
 			Eventually(h.stopped).Should(BeTrue())
 		}
 		leaving := s.servers[engines]
 		var drops sync.WaitGroup
-		for _, h := range s.hosts[still:] {
-			from := h.logged()
+		for _, h := range s.hosts[paused:] {
+			from := h.logLength()
 			drops.Go(func() {
 				defer GinkgoRecover()
-				h.drops(leaving, from)
+				h.expectDropped(leaving, from)
 			})
 		}
 		leaving.Drain()
 		drops.Wait()
-		for _, h := range s.hosts[:still] {
+		for _, h := range s.hosts[:paused] {
 			h.session.Signal(syscall.SIGCONT)
 		}
 	})
--- a/test/platform/notice_test.go
+++ b/test/platform/notice_test.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// A limit binds from limitGrace after it was first named, and a host from hostGrace after
-	// it has passed on an answer that names it. In limitWindow at most limitOver times the
-	// limit and limitSlack requests may come.
+	// A limit applies from limitGrace after a server first states it, and to a host from
+	// hostGrace after the host has forwarded an answer that states it. In any limitWindow, at
+	// most limitFactor times the limit plus limitSlack requests may arrive.
 	limitGrace  = 3 * time.Second
 	hostGrace   = 500 * time.Millisecond
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// sentCall is a call as its host and its caller know it.
+// sentCall is a call with the host it was sent to and its reply.
 type sentCall struct {
 	host  *host
 	reply standin.Reply
 	sent  time.Time
-	at    time.Time // when the head of its answer came
+	at    time.Time // when the head of its answer arrived
 }
 
-// callers send calls to all hosts until they are stopped. mu guards calls.
+// callers sends calls to all hosts until it is stopped. mu guards calls.
 type callers struct {
 	site *site
 	stop chan struct{}
@@ -42,8 +42,8 @@
 	calls map[string]sentCall // by attempt
 }
 
-// newCallers has some callers for each host send calls, each as soon as the one before is
-// answered and pause is over.
+// newCallers starts perHost callers for each host. Each sends its next call after the last
+// one is answered and pause has passed.
 func newCallers(s *site, perHost int, pause time.Duration, call func() standin.Call) *callers {
 	c := &callers{site: s, stop: make(chan struct{}), calls: map[string]sentCall{}}
 	for _, h := range s.hosts {
@@ -72,15 +72,16 @@
 	}
 }
 
-// end stops the callers and returns what they sent.
+// end stops the callers and returns the calls that they sent, by attempt.
 func (c *callers) end() map[string]sentCall {
 	close(c.stop)
 	c.done.Wait()
 	return c.calls
 }
 
-// told lists when each host first passed on an answer that has a field.
-func told(calls map[string]sentCall, srv *standin.Server, field string) map[*host]time.Time {
+// noticeTimes returns when each host first forwarded an answer of a server that has a header
+// field.
+func noticeTimes(calls map[string]sentCall, srv *standin.Server, field string) map[*host]time.Time {
 	first := map[*host]time.Time{}
 	for _, c := range calls {
 		if c.reply.Header.Get(field) == "" || c.reply.Header.Get("Gentianflow-Server-Seal") != "seal-"+srv.Spec.ID {
@@ -93,27 +94,28 @@
 	return first
 }
 
-// mostInWindow is how many requests of told hosts reach a server in a window that begins
-// between from and to, at most.
-func mostInWindow(arrivals []standin.Arrival, calls map[string]sentCall, told map[*host]time.Time, from, to time.Time) (most int) {
-	var bound []time.Time
+// maxInWindow returns the largest number of requests that reach a server within a limitWindow
+// between from and to+limitWindow. It counts only requests of hosts in noticeAt, from
+// hostGrace after the notice.
+func maxInWindow(arrivals []standin.Arrival, calls map[string]sentCall, noticeAt map[*host]time.Time, from, to time.Time) (maxCount int) {
+	var limited []time.Time
 	for _, a := range arrivals {
-		at, ok := told[calls[a.Attempt].host]
+		at, ok := noticeAt[calls[a.Attempt].host]
 		if ok && a.At.Sub(at) >= hostGrace && !a.At.Before(from) && a.At.Before(to.Add(limitWindow)) {
-			bound = append(bound, a.At)
+			limited = append(limited, a.At)
 		}
 	}
-	slices.SortFunc(bound, time.Time.Compare)
-	for i, begin := range bound {
-		end, _ := slices.BinarySearchFunc(bound, begin.Add(limitWindow), time.Time.Compare)
-		most = max(most, end-i)
+	slices.SortFunc(limited, time.Time.Compare)
+	for i, begin := range limited {
+		end, _ := slices.BinarySearchFunc(limited, begin.Add(limitWindow), time.Time.Compare)
+		maxCount = max(maxCount, end-i)
 	}
-	return most
+	return maxCount
 }
 
-func allowed(limit float64) int { return int(limit*limitWindow.Seconds()*limitOver) + limitSlack }
+func allowed(limit float64) int { return int(limit*limitWindow.Seconds()*limitFactor) + limitSlack }
 
-// arrivedSince counts the requests that reached a server since a moment.
+// arrivedSince counts the requests that reached a server after a point in time.
 func arrivedSince(srv *standin.Server, since time.Time) (n int) {
 	for _, a := range srv.Arrivals() {
 		if a.At.After(since) {
@@ -123,38 +125,39 @@
 	return n
 }
 
-var _ = Describe("servers that name a limit of requests a second", func() {
-	// Guards against a server in need that gets more than the limit that it names: its word
-	// goes unread, or each host keeps it for itself alone, or it is lost with the home.
+var _ = Describe("servers that state a limit of requests per second", func() {
+	// An overloaded server must not get more requests than the limit that it states. It does if
+	// hosts ignore the notice, if each host applies the limit to itself alone, or if the limit
+	// is lost with the home.
 	DescribeTable("get no more than that from all hosts together, and callers are served by others",
-		func(trouble func(*site)) {
+		func(fault func(*site)) {
 			const hosts, engines, limit = 5, 1, 1
 			s := newSite(siteOptions{hosts: hosts, engines: engines, apps: 4, largeFirst: true})
-			time.Sleep(3 * time.Second) // hosts that have just started know no home
+			time.Sleep(3 * time.Second) // hosts that have just started do not know the home
 			c := newCallers(s, 2, 40*time.Millisecond, check)
 			time.Sleep(500 * time.Millisecond)
 			limited := s.servers[engines : engines+2]
-			named := time.Now()
+			noticeSent := time.Now()
 			for _, srv := range limited {
 				srv.Say(standin.Notice{Limit: "1"})
 			}
 			time.Sleep(limitGrace)
-			trouble(s)
+			fault(s)
 			time.Sleep(limitWindow + time.Second)
 			until := time.Now()
 			for _, srv := range limited {
 				srv.Say(standin.Notice{})
 			}
-			for _, srv := range limited { // their next answers say so
+			for _, srv := range limited { // their next answers carry no limit
 				Eventually(func() int { return arrivedSince(srv, until) }).Should(BeNumerically(">", 4*limit+limitSlack), srv.Spec.ID)
 			}
 			calls := c.end()
 			for _, srv := range limited {
-				hosts := told(calls, srv, standin.LimitField)
+				hosts := noticeTimes(calls, srv, standin.LimitField)
 				Expect(hosts).NotTo(BeEmpty())
-				most := mostInWindow(srv.Arrivals(), calls, hosts, named.Add(limitGrace), until.Add(-limitWindow))
-				Expect(most).To(BeNumerically("<=", allowed(limit)), srv.Spec.ID)
-				Expect(most).To(BeNumerically(">", 0), "%s may take more", srv.Spec.ID)
+				maxCount := maxInWindow(srv.Arrivals(), calls, hosts, noticeSent.Add(limitGrace), until.Add(-limitWindow))
+				Expect(maxCount).To(BeNumerically("<=", allowed(limit)), srv.Spec.ID)
+				Expect(maxCount).To(BeNumerically(">", 0), "%s may take more", srv.Spec.ID)
 			}
 			answered := 0
 			for _, call := range calls {
@@ -163,14 +166,14 @@
 				}
 			}
 			GinkgoWriter.Printf("%d of %d calls answered\n", answered, len(calls))
-			s.keepsPromises()
+			s.checkPromises()
 		},
-		Entry("while the home goes on", func(*site) {}),
+		Entry("while the home runs", func(*site) {}),
 		Entry("when the home is killed", func(s *site) {
 			s.hosts[0].session.Kill()
 			Eventually(s.hosts[0].session.Exited).Should(BeClosed())
 		}),
-		Entry("when the home stands still", func(s *site) {
+		Entry("when the home is paused", func(s *site) {
 			s.hosts[0].session.Signal(syscall.SIGSTOP)
 			Eventually(s.hosts[0].stopped).Should(BeTrue())
 			time.Sleep(limitWindow)
@@ -179,30 +182,31 @@
 	)
 })
 
-// sentAfter counts the requests that reach a server though their callers sent them later than
-// bound after their host had passed on its word.
-func sentAfter(bound time.Duration, arrivals []standin.Arrival, calls map[string]sentCall, told map[*host]time.Time) (late int) {
+// sentAfter counts the requests that reach a server although their callers sent them later
+// than bound after the host had forwarded the server's notice.
+func sentAfter(bound time.Duration, arrivals []standin.Arrival, calls map[string]sentCall, noticeAt map[*host]time.Time) (late int) {
 	for _, a := range arrivals {
 		call := calls[a.Attempt]
-		if at, ok := told[call.host]; ok && call.sent.Sub(at) > bound {
+		if at, ok := noticeAt[call.host]; ok && call.sent.Sub(at) > bound {
 			late++
 		}
 	}
 	return late
 }
 
-var _ = Describe("servers that say in their answers that they leave, while the store is away", func() {
-	// Guards against a server that gets work after it has said that it leaves: hosts wait for
-	// the store to tell them, or the host that was told does not keep to it without the home.
-	DescribeTable("get nothing more from hosts that were told, and callers are served by others",
-		func(trouble func(*site)) {
+var _ = Describe("servers that announce in their answers that they leave, while the store is unreachable", func() {
+	// A server must not get requests after it has announced in an answer that it leaves. It does
+	// if hosts wait for the change in the store, or if the host that forwarded the answer needs
+	// the home to act on it.
+	DescribeTable("get no more requests from hosts that saw the notice, and callers are served by others",
+		func(fault func(*site)) {
 			const engines = 1
 			s := newSite(siteOptions{hosts: 5, engines: engines, apps: 4, largeFirst: true})
-			time.Sleep(3 * time.Second) // hosts that have just started know no home
+			time.Sleep(3 * time.Second) // hosts that have just started do not know the home
 			c := newCallers(s, 2, 40*time.Millisecond, check)
 			time.Sleep(500 * time.Millisecond)
 			s.store.SetDown(true)
-			trouble(s)
+			fault(s)
 			leaving := s.servers[engines : engines+2]
 			for _, srv := range leaving {
 				srv.Say(standin.Notice{Leaving: true})
@@ -212,14 +216,14 @@
 			s.hosts[0].session.Signal(syscall.SIGCONT)
 			calls := c.end()
 			for _, srv := range leaving {
-				hosts := told(calls, srv, standin.LeavingField)
+				hosts := noticeTimes(calls, srv, standin.LeavingField)
 				Expect(hosts).NotTo(BeEmpty())
 				Expect(sentAfter(drainTime, srv.Arrivals(), calls, hosts)).To(BeZero(), srv.Spec.ID)
 			}
-			s.keepsPromises()
+			s.checkPromises()
 		},
-		Entry("and the home goes on", func(*site) {}),
-		Entry("and the home stands still", func(s *site) {
+		Entry("and the home runs", func(*site) {}),
+		Entry("and the home is paused", func(s *site) {
 			s.hosts[0].session.Signal(syscall.SIGSTOP)
 			Eventually(s.hosts[0].stopped).Should(BeTrue())
 		}),
@@ -227,15 +231,15 @@
 })
 
 const (
-	// From restGrace after a server has turned a host away until the end of the rest that it
-	// asked for, restSends requests from that host may reach it.
-	restGrace = 500 * time.Millisecond
-	restSends = 2
+	// From backoffGrace after a server has rejected a request of a host until the end of the
+	// backoff that it asked for, at most maxBackoffSends requests of that host may reach it.
+	backoffGrace    = 500 * time.Millisecond
+	maxBackoffSends = 2
 )
 
-// sentInRest is the most requests that reach a server from one host in a rest that it had
-// asked that host for.
-func sentInRest(rest time.Duration, arrivals []standin.Arrival, calls map[string]sentCall) (most int) {
+// maxSentInBackoff returns the largest number of requests that reach a server from one host
+// during a backoff that the server asked that host for.
+func maxSentInBackoff(backoff time.Duration, arrivals []standin.Arrival, calls map[string]sentCall) (maxCount int) {
 	for _, asked := range arrivals {
 		if !asked.Rest {
 			continue
@@ -243,47 +247,47 @@
 		n := 0
 		for _, a := range arrivals {
 			since := a.At.Sub(asked.At)
-			if calls[a.Attempt].host == calls[asked.Attempt].host && since > restGrace && since < rest {
+			if calls[a.Attempt].host == calls[asked.Attempt].host && since > backoffGrace && since < backoff {
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
 
-var _ = Describe("servers that turn hosts away and ask for rest", func() {
-	// Guards against a server that is asked again and again while it has asked for rest: its
-	// word goes unread, or the next request does not know of it.
-	DescribeTable("get next to nothing from these until then, and callers are served by others",
-		func(trouble func(*site)) {
-			const rest = 3 * time.Second
+var _ = Describe("servers that reject requests and ask for a backoff", func() {
+	// A server must not get request after request during a backoff that it asked for. It does if
+	// hosts ignore the notice, or do not apply it to their next requests.
+	DescribeTable("get almost no requests from the rejected hosts during it, and callers are served by others",
+		func(fault func(*site)) {
+			const backoff = 3 * time.Second
 			s := newSite(siteOptions{hosts: 3, engines: 4, apps: 1, largeFirst: true, engine: standin.ServerSpec{PerEvent: 10 * time.Millisecond}})
-			time.Sleep(3 * time.Second)                         // hosts that have just started know no home
-			c := newCallers(s, 16, 10*time.Millisecond, digest) // more than two engines have places for
+			time.Sleep(3 * time.Second)                         // hosts that have just started do not know the home
+			c := newCallers(s, 16, 10*time.Millisecond, digest) // more than two engines can run
 			time.Sleep(500 * time.Millisecond)
-			trouble(s)
-			resting := s.servers[:2]
-			for _, srv := range resting {
+			fault(s)
+			overloaded := s.servers[:2]
+			for _, srv := range overloaded {
 				srv.Say(standin.Notice{Rest: "3"})
 			}
-			time.Sleep(2 * rest)
-			for _, srv := range resting {
+			time.Sleep(2 * backoff)
+			for _, srv := range overloaded {
 				srv.Say(standin.Notice{})
 			}
-			well := time.Now()
+			noticeEnded := time.Now()
 			s.hosts[0].session.Signal(syscall.SIGCONT)
-			for _, srv := range resting {
-				Eventually(func() int { return arrivedSince(srv, well) }).Should(BeNumerically(">", 10), srv.Spec.ID)
+			for _, srv := range overloaded {
+				Eventually(func() int { return arrivedSince(srv, noticeEnded) }).Should(BeNumerically(">", 10), srv.Spec.ID)
 			}
 			calls := c.end()
-			for _, srv := range resting {
-				Expect(sentInRest(rest, srv.Arrivals(), calls)).To(BeNumerically("<=", restSends), srv.Spec.ID)
+			for _, srv := range overloaded {
+				Expect(maxSentInBackoff(backoff, srv.Arrivals(), calls)).To(BeNumerically("<=", maxBackoffSends), srv.Spec.ID)
 			}
-			s.keepsPromises()
+			s.checkPromises()
 		},
-		Entry("while the home goes on", func(*site) {}),
-		Entry("when the home stands still", func(s *site) {
+		Entry("while the home runs", func(*site) {}),
+		Entry("when the home is paused", func(s *site) {
 			s.hosts[0].session.Signal(syscall.SIGSTOP)
 			Eventually(s.hosts[0].stopped).Should(BeTrue())
 		}),
@@ -291,21 +295,21 @@
 })
 
 var _ = Describe("the check of limits", func() {
-	It("counts what comes from hosts that were told, in any window", func() {
+	It("counts the requests of hosts that saw the notice, in any window", func() {
 		a, b := &host{name: "a"}, &host{name: "b"}
 		at := func(d time.Duration) time.Time { return time.Unix(100, 0).Add(d) }
 		calls := map[string]sentCall{"a": {host: a}, "b": {host: b}}
-		toldAt := map[*host]time.Time{a: at(0)}
+		noticeAt := map[*host]time.Time{a: at(0)}
 		var arrivals []standin.Arrival
 		for i := range 10 {
 			arrivals = append(arrivals,
 				standin.Arrival{Attempt: "a", At: at(time.Duration(i) * time.Second)},
 				standin.Arrival{Attempt: "b", At: at(time.Duration(i) * time.Second)})
 		}
-		Expect(mostInWindow(arrivals, calls, toldAt, at(0), at(20*time.Second))).To(Equal(4))
-		Expect(mostInWindow(arrivals, calls, toldAt, at(8*time.Second), at(20*time.Second))).To(Equal(2))
-		toldAt[b] = at(0)
-		Expect(mostInWindow(arrivals, calls, toldAt, at(0), at(20*time.Second))).To(Equal(8))
+		Expect(maxInWindow(arrivals, calls, noticeAt, at(0), at(20*time.Second))).To(Equal(4))
+		Expect(maxInWindow(arrivals, calls, noticeAt, at(8*time.Second), at(20*time.Second))).To(Equal(2))
+		noticeAt[b] = at(0)
+		Expect(maxInWindow(arrivals, calls, noticeAt, at(0), at(20*time.Second))).To(Equal(8))
 		Expect(allowed(1.1)).To(Equal(11))
 	})
 })
--- a/test/platform/proxy_test.go
+++ b/test/platform/proxy_test.go
@@ -8,21 +8,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// mode is what a proxy does to its connections.
+// mode is the way a proxy treats its connections.
 type mode int
 
 const (
-	pass   mode = iota
-	delay       // each piece comes late
-	silent      // nothing passes either way, connections stay open
-	oneWay      // requests pass, answers do not
-	reset       // connections are reset, new ones too
-	modes
+	pass   mode = iota // data is forwarded
+	delay              // each read is forwarded after proxyDelay
+	silent             // nothing is forwarded either way, connections stay open
+	oneWay             // requests are forwarded, answers are not
+	reset              // connections are reset, also new ones
+	modeCount
 )
 
 const proxyDelay = 80 * time.Millisecond
 
-// proxy stands between hosts and a server or the store. mu guards the fields
+// proxy forwards TCP connections of hosts to a server or the store. mu guards the fields
 // below it.
 type proxy struct {
 	target string
@@ -34,7 +34,7 @@
 	conns   map[net.Conn]bool
 }
 
-// proxy starts one before an address and returns its own.
+// proxy starts a proxy for the target address and returns the address of the proxy.
 func (s *site) proxy(target string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -80,7 +80,7 @@
 	return p.mode, p.changed
 }
 
-// copy carries one direction, as the mode of the moment says.
+// copy forwards one direction of a connection according to the current mode.
 func (p *proxy) copy(to, from net.Conn, answers bool) {
 	defer func() {
 		abort(to)
@@ -107,7 +107,7 @@
 	}
 }
 
-// set changes the mode; reset ends what is open.
+// set changes the mode. The mode reset also resets open connections.
 func (p *proxy) set(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/test/platform/race_on_test.go
+++ b/test/platform/race_on_test.go
@@ -2,5 +2,5 @@
 
 package platform
 
-// raceArgs make the processes of the system run under the race detector too.
+// raceArgs are build flags that enable the race detector in gentianhost too.
 var raceArgs = []string{"-race"}
--- a/test/platform/rollout_test.go
+++ b/test/platform/rollout_test.go
@@ -16,34 +16,34 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-const rolloutTime = 4 * time.Second
+const rolloutDuration = 4 * time.Second
 
-// rolloutSite is a site whose operator rolls a new version of the plain service out.
+// rolloutSite is a site whose operator rolls out a new version of the plain service.
 type rolloutSite struct {
 	*site
-	mu   sync.Mutex
-	news []*standin.Server
+	mu         sync.Mutex
+	newServers []*standin.Server
 }
 
-// order starts servers of a version beside the old ones and orders the move to it.
+// order starts servers of a version beside the old ones and orders a rollout of it.
 func (s *rolloutSite) order(version string, servers int, fault standin.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.news = nil
+	s.newServers = nil
 	for i := range servers {
 		srv := s.addServer(standin.ServerSpec{
 			ID: fmt.Sprintf("i-app-%s-%d", version, i), Service: standin.AppName, Zone: s.zone(i), Address: "127.0.0.1:0",
 			Version: version, Slots: 6, Queue: 24, Work: 10 * time.Millisecond,
 		})
 		srv.SetFault(fault)
-		s.news = append(s.news, srv)
+		s.newServers = append(s.newServers, srv)
 	}
-	s.store.Put("op", "rollout/"+standin.AppName, map[string]any{"service": standin.AppName, "to": version, "durationS": rolloutTime.Seconds()})
+	s.store.Put("op", "rollout/"+standin.AppName, map[string]any{"service": standin.AppName, "to": version, "durationS": rolloutDuration.Seconds()})
 }
 
-// state reads what operators are told.
+// state returns the state and target version of the rollout, as operators see it in the store.
 func (s *rolloutSite) state() string {
-	rows, _, err := platform.NewStore(s.address).Snapshot(context.Background(), platform.StatusTable)
+	rows, _, err := platform.NewStore(s.storeAddress).Snapshot(context.Background(), platform.StatusTable)
 	if err != nil {
 		return "store: " + err.Error()
 	}
@@ -56,7 +56,8 @@
 	return ""
 }
 
-// load sends calls to all hosts until stop closes, and counts the failures.
+// load sends calls to all hosts until stop is closed. It returns functions that report the
+// numbers of calls and of failures so far.
 func (s *rolloutSite) load(stop <-chan struct{}) (sent, failed func() int) {
 	var mu sync.Mutex
 	var n, bad int
@@ -86,17 +87,17 @@
 		})
 	}
 	DeferCleanup(senders.Wait)
-	read := func(of *int) func() int {
+	read := func(counter *int) func() int {
 		return func() int {
 			mu.Lock()
 			defer mu.Unlock()
-			return *of
+			return *counter
 		}
 	}
 	return read(&n), read(&bad)
 }
 
-// runsOn counts the runs at servers.
+// runsOn counts the runs at the given servers.
 func runsOn(servers []*standin.Server) (n int) {
 	for _, srv := range servers {
 		n += len(srv.Runs())
@@ -106,11 +107,11 @@
 
 func newRolloutSite(o siteOptions) *rolloutSite { return &rolloutSite{site: newSite(o)} }
 
-var _ = Describe("an order to roll a version out", func() {
-	// Story: an operator starts servers of a new version and orders the move. The version is
-	// sound. It is tried with a part of the calls, then gets all, and the old servers, which
-	// are stopped the moment that the move is told complete, run nothing then.
-	It("moves the service to a sound version and loses nothing", func() {
+var _ = Describe("an order to roll out a version", func() {
+	// An operator starts servers of a working new version and orders the rollout. The version
+	// gets a share of the calls at first, then all. The operator stops the old servers as soon
+	// as the rollout is reported complete, so they must not run requests any more by then.
+	It("moves the service to a working version and fails no call", func() {
 		s := newRolloutSite(siteOptions{hosts: 3, engines: 1, apps: 3})
 		old := s.servers[1:]
 		stop := make(chan struct{})
@@ -118,39 +119,39 @@
 		time.Sleep(time.Second)
 		s.order("v2", 3, standin.Fault{})
 		Eventually(s.state).WithTimeout(3 * time.Second).Should(Equal("running v2"))
-		Eventually(s.state).WithTimeout(rolloutTime + 3*time.Second).WithPolling(10 * time.Millisecond).Should(Equal("completed v2"))
+		Eventually(s.state).WithTimeout(rolloutDuration + 3*time.Second).WithPolling(10 * time.Millisecond).Should(Equal("completed v2"))
 		for _, srv := range old {
 			srv.Close()
 		}
-		before := runsOn(s.news)
+		before := runsOn(s.newServers)
 		time.Sleep(time.Second)
 		close(stop)
-		Expect(runsOn(s.news)).To(BeNumerically(">", before))
+		Expect(runsOn(s.newServers)).To(BeNumerically(">", before))
 		Expect(failed()).To(BeZero())
 	})
 
-	// Story: half of a new version's answers are failures. Without a judge it gets its even
-	// part of the calls until somebody notices; here it is taken back after a few.
-	It("takes a bad version back after a few bad answers", func() {
+	// Half of a new version's answers are failures. Without an automatic rollback it would get
+	// its equal share of the calls until an operator notices.
+	It("rolls a bad version back after a few bad answers", func() {
 		s := newRolloutSite(siteOptions{hosts: 3, engines: 1, apps: 3})
 		stop := make(chan struct{})
 		sent, _ := s.load(stop)
 		time.Sleep(time.Second)
 		before := sent()
 		s.order("v2", 3, standin.Fault{FailEvery: 2})
-		Eventually(s.state).WithTimeout(rolloutTime + 3*time.Second).WithPolling(10 * time.Millisecond).Should(Equal("rolled_back v2"))
-		exposed, reached := runsOn(s.news), sent()-before
-		Expect(float64(exposed)).To(BeNumerically("<=", 0.05*float64(reached)+25), "half of what it may get, of %d", reached)
-		time.Sleep(500 * time.Millisecond) // calls that were on their way
-		after := runsOn(s.news)
+		Eventually(s.state).WithTimeout(rolloutDuration + 3*time.Second).WithPolling(10 * time.Millisecond).Should(Equal("rolled_back v2"))
+		exposed, reached := runsOn(s.newServers), sent()-before
+		Expect(float64(exposed)).To(BeNumerically("<=", 0.05*float64(reached)+25), "half of the runs that the version may get, of %d calls", reached)
+		time.Sleep(500 * time.Millisecond) // until calls in progress have ended
+		after := runsOn(s.newServers)
 		time.Sleep(time.Second)
 		close(stop)
-		Expect(runsOn(s.news)).To(Equal(after))
+		Expect(runsOn(s.newServers)).To(Equal(after))
 	})
 
-	// Story: the host that carries the roll-out is killed in the middle of it. The next home
-	// knows nothing of what was tried; it must neither forget the order nor try as much again.
-	It("is carried on by the next home", func() {
+	// The home, which controls the rollout, is killed in the middle of it. The next home does not
+	// know the results so far; it must neither lose the order nor repeat the whole trial.
+	It("is continued by the next home", func() {
 		s := newRolloutSite(siteOptions{hosts: 3, engines: 1, apps: 3})
 		stop := make(chan struct{})
 		s.load(stop)
@@ -158,19 +159,20 @@
 		s.order("v2", 3, standin.Fault{})
 		Eventually(s.state).WithTimeout(3 * time.Second).Should(Equal("running v2"))
 		for i, h := range s.hosts {
-			if leads(h) {
+			if isHome(h) {
 				h.session.Kill().Wait()
 				s.hosts = append(s.hosts[:i:i], s.hosts[i+1:]...)
 				break
 			}
 		}
-		Eventually(s.state).WithTimeout(2*rolloutTime + 5*time.Second).Should(Equal("completed v2"))
+		Eventually(s.state).WithTimeout(2*rolloutDuration + 5*time.Second).Should(Equal("completed v2"))
 		close(stop)
 	})
 
-	// Story: the store goes away while a bad version is tried. The verdict can't be written;
-	// the version must get nothing more all the same, and operators learn of it later.
-	It("takes a bad version back while the store is away", func() {
+	// The store becomes unreachable while a bad version is tried, so the rollback cannot be
+	// written. The version must get no more requests nevertheless, and operators see the
+	// rollback once the store is back.
+	It("rolls a bad version back while the store is unreachable", func() {
 		s := newRolloutSite(siteOptions{hosts: 3, engines: 1, apps: 3})
 		stop := make(chan struct{})
 		s.load(stop)
@@ -178,18 +180,18 @@
 		s.order("v2", 3, standin.Fault{FailEvery: 2})
 		Eventually(s.state).WithTimeout(3 * time.Second).Should(Equal("running v2"))
 		s.store.SetDown(true)
-		time.Sleep(rolloutTime)
-		judged := runsOn(s.news)
+		time.Sleep(rolloutDuration)
+		runsAfterVerdict := runsOn(s.newServers)
 		time.Sleep(time.Second)
-		Expect(runsOn(s.news)).To(Equal(judged))
+		Expect(runsOn(s.newServers)).To(Equal(runsAfterVerdict))
 		s.store.SetDown(false)
 		Eventually(s.state).WithTimeout(8 * time.Second).Should(Equal("rolled_back v2"))
 		close(stop)
 	})
 
-	// Story: servers of a version that no order names register, as they do a moment before
-	// their order is read. They get nothing while the old ones are there.
-	It("leaves servers of a version alone that nobody has ordered", func() {
+	// Servers of a version without an order register, as happens shortly before hosts read the
+	// order. They must get no requests while the old servers are there.
+	It("sends nothing to servers of a version that was not ordered", func() {
 		s := newRolloutSite(siteOptions{hosts: 2, engines: 1, apps: 3})
 		stop := make(chan struct{})
 		s.load(stop)
@@ -202,7 +204,7 @@
 		Expect(early.Runs()).To(BeEmpty())
 	})
 
-	It("tells of orders that make no sense, and goes on", func() {
+	It("reports invalid orders and continues to serve", func() {
 		s := newRolloutSite(siteOptions{hosts: 2, engines: 1, apps: 1})
 		for key, order := range map[string]any{
 			"rollout/" + standin.AppName:    map[string]any{"service": standin.AppName, "to": "v2", "durationS": 0},
--- a/test/platform/serve_test.go
+++ b/test/platform/serve_test.go
@@ -14,8 +14,8 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-var _ = Describe("a calm day", func() {
-	It("answers every kind of request whole, once, through every host", func() {
+var _ = Describe("operation without faults", func() {
+	It("answers every kind of request completely, once, through every host", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 3, apps: 2})
 		for _, h := range s.hosts {
 			for _, c := range []standin.Call{confirm(), check(), appraise(), digest(), {Path: standin.PublicPath + "x"}} {
@@ -28,10 +28,10 @@
 				}
 			}
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
-	It("tells what it counts and believes at its metrics address", func() {
+	It("exports its counters and state at the metrics address", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		Expect(s.send(s.hosts[0], confirm()).Status).To(Equal(http.StatusOK))
 		resp, err := http.Get("http://" + s.hosts[0].at(metricsPort) + "/metrics")
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("answers for itself what it cannot pass on, with the right status", func() {
+	It("answers requests that it cannot forward with the right status", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		h := s.hosts[0]
 		unknown := check()
@@ -60,7 +60,7 @@
 		Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.Account))
 	})
 
-	It("bounds an account over all hosts and says when to come back", func() {
+	It("limits a client account over all hosts and says when to retry", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 2, apps: 1})
 		var calls sync.WaitGroup
 		for i := range 12 {
@@ -81,18 +81,18 @@
 				Expect(r.RetryAfter).To(BeNumerically(">", 0))
 			}
 		}
-		// A burst of 2,000 and 2,000 a second for the 2.4 s that a request of
-		// 1,060 may wait.
+		// The quota allows a burst of 2,000 tokens and 2,000 per second during the 2.4 s that a
+		// request of 1,060 tokens may wait.
 		Expect(ok).To(BeNumerically("~", 5, 3))
 		Expect(refused).To(Equal(12 - ok))
-		s.keepsPromises()
+		s.checkPromises()
 	})
 })
 
 var _ = Describe("servers that misbehave", func() {
-	// An appraisal stops in the middle of an event. The caller must see one
-	// answer without a gap and without a piece twice, and not a cut one.
-	It("resumes a stream that breaks off within the same answer", func() {
+	// A stream breaks in the middle of an event. The caller must get one complete answer with
+	// no event missing or repeated.
+	It("resumes a broken stream within the same answer", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 2, apps: 1})
 		for _, srv := range s.servers[:2] {
 			srv.SetFault(standin.Fault{CutAfter: 5})
@@ -105,8 +105,7 @@
 		Expect(s.runsOf(r.Attempt)).To(HaveLen(2))
 	})
 
-	// A server goes silent in the middle of an appraisal while its connection
-	// stays open.
+	// A server stops sending in the middle of a stream while its connection stays open.
 	It("resumes a stream whose server falls silent", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 2, apps: 1})
 		for _, srv := range s.servers[:2] {
@@ -119,8 +118,8 @@
 		Expect(r.Took).To(BeNumerically("<", 4*time.Second))
 	})
 
-	// A digest may not be resumed: cut, it must not look complete.
-	It("does not let a cut stream look complete", func() {
+	// A digest may not be resumed. When it is interrupted, it must not look complete.
+	It("does not let an interrupted stream look complete", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		s.servers[0].SetFault(standin.Fault{CutAfter: 5})
 		r := s.send(s.hosts[0], digest())
@@ -128,9 +127,9 @@
 		Expect(s.runsOf(r.Attempt)).To(HaveLen(1))
 	})
 
-	// A confirmation runs and its answer is lost: told "not run", the parent
-	// would send it again, and two families turn up for one coat.
-	It("neither repeats a lost confirmation nor calls it not run, and repeats a lost check", func() {
+	// A confirmation runs and its answer is lost. If the caller were told that it did not run,
+	// it would send it again and two callers could be confirmed for one item.
+	It("neither retries a lost confirmation nor reports it as not run, and retries a lost check", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		s.servers[1].SetFault(standin.Fault{LoseAnswer: true})
 		for range 10 {
@@ -138,10 +137,10 @@
 			Expect(r.Status).To(BeElementOf(http.StatusOK, http.StatusBadGateway))
 			Expect(s.send(s.hosts[0], check()).Status).To(Equal(http.StatusOK))
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
-	It("passes on no spoiled answers", func() {
+	It("forwards no corrupted answers", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		for _, f := range []standin.Fault{{CutAnswer: true}, {NoSeal: true}, {ExtraAnswer: true}, {FailEvery: 2}} {
 			s.servers[1].SetFault(f)
@@ -150,10 +149,10 @@
 				s.send(s.hosts[0], confirm())
 			}
 		}
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
-	It("goes elsewhere when a server states that it did not run a request", func() {
+	It("tries another server when one states that it did not run a request", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		s.servers[1].SetFault(standin.Fault{RejectAll: true})
 		for range 5 {
@@ -163,14 +162,14 @@
 		r := s.send(s.hosts[0], confirm())
 		Expect(r.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.RetryAfter).To(BeNumerically(">", 0))
-		s.keepsPromises()
+		s.checkPromises()
 	})
 
 	It("sends nothing to a server that drains, or whose entry is gone", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 1, apps: 3})
 		s.servers[1].Drain()
 		s.servers[2].Vanish()
-		time.Sleep(300 * time.Millisecond) // the promise is seconds; the feed needs milliseconds
+		time.Sleep(300 * time.Millisecond) // the bound is seconds; the change feed takes milliseconds
 		before := len(s.servers[1].Runs()) + len(s.servers[2].Runs())
 		for i := range 10 {
 			Expect(s.send(s.hosts[i%2], confirm()).Status).To(Equal(http.StatusOK))
@@ -178,8 +177,8 @@
 		Expect(len(s.servers[1].Runs()) + len(s.servers[2].Runs())).To(Equal(before))
 	})
 
-	// A server restarts at its address, or another service gets the address,
-	// before its old entry is gone.
+	// A server restarts at the same address, or another service gets the address, before the
+	// old entry is gone.
 	It("does not run a request at another incarnation", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		old := s.servers[1]
@@ -196,7 +195,7 @@
 		}
 	})
 
-	It("ends the work at the server when its caller leaves", func() {
+	It("stops the run at the server when its caller leaves", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1, engine: standin.ServerSpec{PerEvent: 100 * time.Millisecond}})
 		ctx, cancel := context.WithCancel(context.Background())
 		c := appraise()
@@ -211,7 +210,7 @@
 })
 
 var _ = Describe("the configuration", func() {
-	It("is refused nowhere, comes in force everywhere within a second and never goes back", func() {
+	It("is accepted and applied by every host within a second and never reverts to an older version", func() {
 		s := newSite(siteOptions{hosts: 3, engines: 1, apps: 1})
 		s.config.Version = 5
 		s.config.Tenants[0]["apiKeys"] = []string{"new-key"}
@@ -228,7 +227,7 @@
 		Expect(s.send(s.hosts[0], check()).Status).To(Equal(http.StatusUnauthorized))
 	})
 
-	It("makes a host that knows none yet answer not run", func() {
+	It("is needed to serve: a host without one answers that requests did not run", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 1})
 		s.store.SetDown(true)
 		s.hosts[0].session.Kill()
--- a/test/platform/site_test.go
+++ b/test/platform/site_test.go
@@ -1,5 +1,5 @@
-// Package platform runs gentianhost as real processes against the stand-in of
-// the platform, on loopback, and checks what callers and servers see.
+// Package platform runs gentianhost as real processes against the stand-in of the platform,
+// on loopback, and checks what callers and servers observe.
 package platform
 
 import (
@@ -52,17 +52,17 @@
 	metricsPort = 7614
 )
 
-// host is one entry host's process.
+// host is the process of an entry host.
 type host struct {
 	name    string
 	ip      string
 	session *gexec.Session
-	store   string      // address at which it reaches the store, empty: the site's
-	cores   float64     // of its processor, 0: as most have
-	held    atomic.Bool // by a fault of the soak
+	store   string      // address at which it reaches the store; empty means the site's
+	cores   float64     // processor cores; 0 means the default
+	claimed atomic.Bool // by a fault of the soak, so that no other one uses the host
 }
 
-// stopped reports whether a signal has stopped the process: its state is T then.
+// stopped reports whether a signal has stopped the process, which is process state T.
 func (h *host) stopped() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.session.Command.Process.Pid))
 	_, state, ok := strings.Cut(string(stat), ") ")
@@ -71,50 +71,51 @@
 
 func (h *host) at(port int) string { return net.JoinHostPort(h.ip, fmt.Sprint(port)) }
 
-// site is the system with the platform around it.
+// site is a system of hosts with the stand-in of the platform.
 type site struct {
-	store   *standin.Store
-	api     *httptest.Server
-	config  *standin.Config
-	servers []*standin.Server
-	hosts   []*host
-	caller  *standin.Caller
-	subnet  string
-	dir     string
-	proxies []*proxy // the store's first
-	address string   // of the store, as hosts know it
+	store        *standin.Store
+	api          *httptest.Server
+	config       *standin.Config
+	servers      []*standin.Server
+	hosts        []*host
+	caller       *standin.Caller
+	subnet       string
+	dir          string
+	proxies      []*proxy // the one of the store first
+	storeAddress string   // address of the store that hosts are given
 
-	mu      sync.Mutex // guards hosts and servers while they change, sent and replies
-	sent    []standin.Call
-	replies []standin.Reply
-	gone    []*host           // that were taken away
-	left    []*standin.Server // that were replaced
+	mu       sync.Mutex // guards sent and replies, and changes of hosts and servers
+	sent     []standin.Call
+	replies  []standin.Reply
+	removed  []*host           // hosts that were taken away
+	replaced []*standin.Server // servers that were replaced
 }
 
 type siteOptions struct {
 	hosts, engines, apps int
 	engine               standin.ServerSpec // defaults where zero
-	proxied              bool               // servers and store behind proxies
-	largeFirst           bool               // the first host is larger, and so the home
-	large                int                // so many of the first hosts are larger: the home and readers of the store
+	proxied              bool               // servers and store are behind proxies
+	largeFirst           bool               // the first host is larger and therefore the home
+	large                int                // number of first hosts that are larger: the home and the readers of the store
 	ownStores            bool               // each host reaches the store through a proxy of its own
 }
 
-// newSite starts everything and waits until each host is ready and knows all.
+// newSite starts a site and waits until each host is ready and knows all others, and there is a
+// home.
 func newSite(o siteOptions) *site {
 	s := &site{
 		store: standin.NewStore(), config: standin.NewConfig(), caller: standin.NewCaller(), dir: GinkgoT().TempDir(),
-		// Each site has addresses of its own within the loopback range.
+		// Each site has its own addresses within the loopback range.
 		subnet: fmt.Sprintf("127.%d.%d.", 10+rand.IntN(200), rand.IntN(250)),
 	}
 	s.api = httptest.NewServer(s.store.Handler())
 	DeferCleanup(s.stop)
-	s.address = s.api.Listener.Addr().String()
+	s.storeAddress = s.api.Listener.Addr().String()
 	spec := o.engine
 	var advertise func(string) string
 	if o.proxied {
 		advertise = s.proxy
-		s.address = s.proxy(s.address)
+		s.storeAddress = s.proxy(s.storeAddress)
 	}
 	spec.Advertise = advertise
 	s.config.Put(s.store)
@@ -140,7 +141,7 @@
 			s.hosts[i].cores = 0.8
 		}
 		if o.ownStores {
-			s.hosts[i].store = s.proxy(s.address)
+			s.hosts[i].store = s.proxy(s.storeAddress)
 		}
 		s.start(s.hosts[i])
 	}
@@ -152,11 +153,11 @@
 	return s
 }
 
-// hasHome reports whether a host has told that it schedules for all.
-func (s *site) hasHome() bool { return slices.ContainsFunc(s.hosts, leads) }
+// hasHome reports whether a host has logged that it is the home.
+func (s *site) hasHome() bool { return slices.ContainsFunc(s.hosts, isHome) }
 
-// leads reports whether a host has told that it schedules for all.
-func leads(h *host) bool { return strings.Contains(string(h.session.Out.Contents()), "limits=1.00") }
+// isHome reports whether a host has logged that it is the home.
+func isHome(h *host) bool { return strings.Contains(string(h.session.Out.Contents()), "limits=1.00") }
 
 func (s *site) zone(i int) string {
 	return []string{"fukuoka-hall", "kumamoto-hall", "kagoshima-hall"}[i%3]
@@ -172,7 +173,7 @@
 // start writes the host's settings file and starts its process.
 func (s *site) start(h *host) {
 	path := filepath.Join(s.dir, h.name+".conf")
-	set := standin.HostSettings{Name: h.name, IP: h.ip, Zone: s.zone(len(h.name)), Store: cmp.Or(h.store, s.address), Cores: h.cores}
+	set := standin.HostSettings{Name: h.name, IP: h.ip, Zone: s.zone(len(h.name)), Store: cmp.Or(h.store, s.storeAddress), Cores: h.cores}
 	for i := range min(3, len(s.hosts)) {
 		set.Seeds = append(set.Seeds, s.hosts[i].ip)
 	}
@@ -185,14 +186,14 @@
 }
 
 func (s *site) stop() {
-	for _, h := range slices.Concat(s.hosts, s.gone) {
+	for _, h := range slices.Concat(s.hosts, s.removed) {
 		if h.session != nil {
 			h.session.Signal(syscall.SIGCONT).Kill()
 			Eventually(h.session).Should(gexec.Exit())
 			Expect(string(h.session.Err.Contents())).NotTo(ContainSubstring("DATA RACE"), h.name)
 		}
 	}
-	for _, srv := range slices.Concat(s.servers, s.left) {
+	for _, srv := range slices.Concat(s.servers, s.replaced) {
 		srv.Close()
 	}
 	for _, p := range s.proxies {
@@ -202,7 +203,7 @@
 	s.api.Close()
 }
 
-// lookup asks a host for addresses, as callers do.
+// lookup asks a host for the addresses of entry hosts, as callers do.
 func (s *site) lookup(h *host) []string {
 	var body struct {
 		Addresses []string `json:"addresses"`
@@ -227,7 +228,8 @@
 	return resp.StatusCode
 }
 
-// send sends a call to a host and keeps it for the checks at the end.
+// send sends a call to a host and records it and its reply for the checks at the end. It fills
+// in a key and a deadline where they are missing.
 func (s *site) send(h *host, c standin.Call) standin.Reply {
 	if c.Key == "" && !strings.HasPrefix(c.Path, standin.PublicPath) {
 		c.Key = standin.AccountKey
@@ -247,7 +249,7 @@
 	return r
 }
 
-// hostList returns the hosts as they are now.
+// hostList returns a copy of the current list of hosts.
 func (s *site) hostList() []*host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,9 +268,9 @@
 	return standin.Call{Path: standin.BulkPath + "a", Prompt: 1000, Output: 60, Body: "y"}
 }
 
-// load sends a mix to all hosts until stop is closed and returns when all of
-// it is answered. Calls to a host whose process has ended are not counted.
-func (s *site) load(each time.Duration, stop <-chan struct{}) {
+// load sends a mix of calls to all hosts at the interval until stop is closed, and returns
+// when all of them have ended.
+func (s *site) load(interval time.Duration, stop <-chan struct{}) {
 	var calls sync.WaitGroup
 	mix := []func() standin.Call{confirm, check, appraise, digest}
 	for i := 0; ; i++ {
@@ -276,7 +278,7 @@
 		case <-stop:
 			calls.Wait()
 			return
-		case <-time.After(each):
+		case <-time.After(interval):
 		}
 		hosts := s.hostList()
 		h, c := hosts[i%len(hosts)], mix[(i/len(hosts))%len(mix)]()
@@ -284,9 +286,9 @@
 	}
 }
 
-// runsOf counts the runs of an attempt over all servers.
+// runsOf returns the runs of an attempt at all servers.
 func (s *site) runsOf(attempt string) (runs []standin.Run) {
-	for _, srv := range slices.Concat(s.servers, s.left) {
+	for _, srv := range slices.Concat(s.servers, s.replaced) {
 		for _, r := range srv.Runs() {
 			if r.Attempt == attempt {
 				runs = append(runs, r)
@@ -296,7 +298,7 @@
 	return runs
 }
 
-// answered counts the calls answered whole with success, and all.
+// answered counts the calls that got a complete successful answer, and all calls.
 func (s *site) answered() (ok, all int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -17,16 +17,16 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// The soak's environment: SOAK_SEEDS lists seeds or a range such as 1-50,
-// SOAK_FOR is how long faults come for each. CI runs one short seed, and each
-// seed that ever failed.
+// Environment variables of the soak: SOAK_SEEDS lists seeds or ranges such as 1-50, SOAK_FOR
+// is the duration of faults for each seed. CI runs one short seed and each seed that ever
+// failed.
 const (
 	defaultSeeds  = "1"
 	defaultLength = 6 * time.Second
-	recovery      = 6 * time.Second // from the last fault until all is well
+	recoveryTime  = 6 * time.Second // from the last fault until all hosts serve again
 )
 
-// failedSeeds are seeds that failed once, with what they showed.
+// failedSeeds are seeds that failed once, each with a comment on its failure.
 var failedSeeds = []uint64{}
 
 func soakSeeds() []uint64 {
@@ -58,21 +58,21 @@
 	return defaultLength
 }
 
-// soak makes faults on a site, drawn from a seed. Faults that last heal some
-// time later or end by themselves, so they overlap.
+// soak injects random faults into a site, drawn from a seed. A lasting fault ends by itself or
+// is undone after later ones have begun, so faults overlap.
 type soak struct {
 	*site
-	rng    *rand.Rand
-	heal   []func()
-	spare  int            // hosts added
-	ids    int            // servers started anew
-	duties sync.WaitGroup // shutdowns and replacements under way
+	rng          *rand.Rand
+	undo         []func()
+	addedHosts   int            // number of hosts added
+	replacements int            // number of servers replaced
+	background   sync.WaitGroup // shutdowns and replacements in progress
 }
 
-// soakFault is a kind of trouble; make does it and returns what it did.
+// soakFault is a kind of fault. inject injects it and returns a description for the log.
 type soakFault struct {
-	name string
-	make func(k *soak) string
+	name   string
+	inject func(k *soak) string
 }
 
 var soakFaults = []soakFault{
@@ -80,37 +80,37 @@
 	{"pause a host", (*soak).pauseHost},
 	{"shut a host down and start it again", (*soak).restartHost},
 	{"add a host", (*soak).addHost},
-	{"signal new settings", (*soak).reload},
-	{"lose the store's history", (*soak).forget},
-	{"take the store away", (*soak).storeAway},
-	{"change the configuration", (*soak).configure},
-	{"change quotas and keys", (*soak).accounts},
-	{"make a server misbehave", (*soak).misbehave},
-	{"have a server ask for less", (*soak).askForLess},
-	{"replace a server", (*soak).replace},
-	{"disturb connections", (*soak).disturb},
-	{"disturb connections", (*soak).disturb}, // the commonest trouble
+	{"signal new settings", (*soak).reloadSettings},
+	{"lose the store's history", (*soak).loseStoreHistory},
+	{"make the store unreachable", (*soak).takeStoreDown},
+	{"change the configuration", (*soak).changeConfig},
+	{"change quotas and keys", (*soak).changeAccounts},
+	{"make a server misbehave", (*soak).addServerFault},
+	{"have a server send a notice", (*soak).addServerNotice},
+	{"replace a server", (*soak).replaceServer},
+	{"disturb connections", (*soak).disturbConnections},
+	{"disturb connections", (*soak).disturbConnections}, // twice, as it is the most common fault
 }
 
-// idle draws a host that no other fault holds and takes it; nil when there is
-// none. The caller gives it back by letGo.
-func (k *soak) idle() *host {
+// claimHost draws a random host and claims it for a fault, until release. It returns nil if
+// another fault has claimed that host.
+func (k *soak) claimHost() *host {
 	hosts := k.hostList()
 	h := hosts[k.rng.IntN(len(hosts))]
-	if !h.held.CompareAndSwap(false, true) {
+	if !h.claimed.CompareAndSwap(false, true) {
 		return nil
 	}
 	return h
 }
 
-func (h *host) letGo() { h.held.Store(false) }
+func (h *host) release() { h.claimed.Store(false) }
 
 func (k *soak) killHost() string {
-	h := k.idle()
+	h := k.claimHost()
 	if h == nil {
 		return "nothing"
 	}
-	defer h.letGo()
+	defer h.release()
 	h.session.Kill()
 	<-h.session.Exited
 	k.start(h)
@@ -118,42 +118,42 @@
 }
 
 func (k *soak) pauseHost() string {
-	h := k.idle()
+	h := k.claimHost()
 	if h == nil {
 		return "nothing"
 	}
 	h.session.Signal(syscall.SIGSTOP)
-	k.heal = append(k.heal, func() {
+	k.undo = append(k.undo, func() {
 		h.session.Signal(syscall.SIGCONT)
-		h.letGo()
+		h.release()
 	})
 	return h.name
 }
 
-// restartHost ends a host by SIGTERM. Callers use their connections to it until
-// it is gone; it starts again at once.
+// restartHost ends a host by SIGTERM and restarts it as soon as it has exited. Callers use
+// their connections to it until then.
 func (k *soak) restartHost() string {
-	h := k.idle()
+	h := k.claimHost()
 	if h == nil {
 		return "nothing"
 	}
 	h.session.Terminate()
-	k.duties.Go(func() {
+	k.background.Go(func() {
 		<-h.session.Exited
 		k.start(h)
-		h.letGo()
+		h.release()
 	})
 	return h.name
 }
 
-// maxSpares bounds the hosts that a soak adds.
-const maxSpares = 2
+// maxAddedHosts limits the number of hosts that a soak adds.
+const maxAddedHosts = 2
 
-// addHost adds a host, or takes an added one away for good.
+// addHost adds a host, or removes an added one for good.
 func (k *soak) addHost() string {
-	if k.spare < maxSpares {
-		k.spare++
-		h := &host{name: fmt.Sprintf("front-spare-%d", k.spare), ip: k.subnet + fmt.Sprint(100+k.spare)}
+	if k.addedHosts < maxAddedHosts {
+		k.addedHosts++
+		h := &host{name: fmt.Sprintf("front-spare-%d", k.addedHosts), ip: k.subnet + fmt.Sprint(100+k.addedHosts)}
 		k.start(h)
 		k.mu.Lock()
 		k.hosts = append(k.hosts, h)
@@ -162,56 +162,56 @@
 	}
 	hosts := k.hostList()
 	h := hosts[len(hosts)-1]
-	if !strings.HasPrefix(h.name, "front-spare") || !h.held.CompareAndSwap(false, true) {
+	if !strings.HasPrefix(h.name, "front-spare") || !h.claimed.CompareAndSwap(false, true) {
 		return "nothing"
 	}
-	h.session.Terminate() // it stays held: nothing starts it again
+	h.session.Terminate() // it stays claimed, so that nothing restarts it
 	k.mu.Lock()
 	k.hosts = k.hosts[:len(k.hosts)-1]
-	k.gone = append(k.gone, h)
+	k.removed = append(k.removed, h)
 	k.mu.Unlock()
 	return "remove " + h.name
 }
 
-func (k *soak) reload() string {
-	h := k.idle()
+func (k *soak) reloadSettings() string {
+	h := k.claimHost()
 	if h == nil {
 		return "nothing"
 	}
-	defer h.letGo()
+	defer h.release()
 	h.session.Signal(syscall.SIGHUP)
 	return h.name
 }
 
-func (k *soak) forget() string {
+func (k *soak) loseStoreHistory() string {
 	k.store.Forget()
 	n := k.rng.IntN(3)
 	k.store.LoseAnswers(n)
 	return fmt.Sprintf("%d answers too", n)
 }
 
-func (k *soak) storeAway() string {
+func (k *soak) takeStoreDown() string {
 	k.store.SetDown(true)
-	k.heal = append(k.heal, func() { k.store.SetDown(false) })
+	k.undo = append(k.undo, func() { k.store.SetDown(false) })
 	return ""
 }
 
-func (k *soak) configure() string {
+func (k *soak) changeConfig() string {
 	k.config.Version += int64(1 + k.rng.IntN(3))
 	k.config.Put(k.store)
 	return fmt.Sprint("version ", k.config.Version)
 }
 
-// accounts gives the small account another quota and the large one another key
-// beside its own.
-func (k *soak) accounts() string {
+// changeAccounts gives the small client account another quota and the large one another key
+// besides its own.
+func (k *soak) changeAccounts() string {
 	rate := 500 * (1 + k.rng.IntN(8))
 	k.config.Tenants[1]["ratePerS"] = rate
 	k.config.Tenants[0]["apiKeys"] = []string{standin.AccountKey, fmt.Sprint("key-", k.rng.IntN(100))}
-	return fmt.Sprintf("quota %d, %s", rate, k.configure())
+	return fmt.Sprintf("quota %d, %s", rate, k.changeConfig())
 }
 
-func (k *soak) misbehave() string {
+func (k *soak) addServerFault() string {
 	srv := k.servers[k.rng.IntN(len(k.servers))]
 	faults := []standin.Fault{
 		{FailEvery: 3},
@@ -225,36 +225,36 @@
 	}
 	f := faults[k.rng.IntN(len(faults))]
 	srv.SetFault(f)
-	k.heal = append(k.heal, func() { srv.SetFault(standin.Fault{}) })
+	k.undo = append(k.undo, func() { srv.SetFault(standin.Fault{}) })
 	return fmt.Sprintf("%s %+v", srv.Spec.ID, f)
 }
 
-// askForLess has a server name a limit, or turn hosts away and ask for rest.
-func (k *soak) askForLess() string {
+// addServerNotice has a server state a limit, or reject requests and ask for a backoff.
+func (k *soak) addServerNotice() string {
 	srv := k.servers[k.rng.IntN(len(k.servers))]
 	notices := []standin.Notice{{Limit: "1"}, {Limit: "5"}, {Rest: "0.5"}, {Rest: "2"}}
 	n := notices[k.rng.IntN(len(notices))]
 	srv.Say(n)
-	k.heal = append(k.heal, func() { srv.Say(standin.Notice{}) })
+	k.undo = append(k.undo, func() { srv.Say(standin.Notice{}) })
 	return fmt.Sprintf("%s %+v", srv.Spec.ID, n)
 }
 
-// lingerAfterDrain is how long a leaving server goes on, a little over the
-// platform's drainMs of the stand-in's settings.
+// lingerAfterDrain is how long a leaving server still runs, slightly longer than drainMs in the
+// stand-in's settings.
 const lingerAfterDrain = 2500 * time.Millisecond
 
-// replace starts a new incarnation of a server and takes the old one away:
-// announced, not announced, or by a crash.
-func (k *soak) replace() string {
+// replaceServer starts a new incarnation of a server and removes the old one: it drains, its
+// entry disappears, or it crashes.
+func (k *soak) replaceServer() string {
 	i := k.rng.IntN(len(k.servers))
 	old := k.servers[i]
 	spec := old.Spec
-	k.ids++
-	spec.ID, spec.Address = fmt.Sprintf("%s-%d", strings.SplitN(old.Spec.ID, "-n", 2)[0], k.ids), "127.0.0.1:0"
-	fresh, err := standin.StartServer(k.store, spec)
+	k.replacements++
+	spec.ID, spec.Address = fmt.Sprintf("%s-%d", strings.SplitN(old.Spec.ID, "-n", 2)[0], k.replacements), "127.0.0.1:0"
+	started, err := standin.StartServer(k.store, spec)
 	Expect(err).NotTo(HaveOccurred())
 	k.mu.Lock()
-	k.servers[i], k.left = fresh, append(k.left, old)
+	k.servers[i], k.replaced = started, append(k.replaced, old)
 	k.mu.Unlock()
 	how := k.rng.IntN(3)
 	switch how {
@@ -265,7 +265,7 @@
 	default:
 		old.Close()
 	}
-	k.duties.Go(func() {
+	k.background.Go(func() {
 		time.Sleep(lingerAfterDrain)
 		old.Close()
 		k.store.Delete("servers", old.Spec.ID)
@@ -273,63 +273,63 @@
 	return fmt.Sprintf("%s by %s, way %d", old.Spec.ID, spec.ID, how)
 }
 
-func (k *soak) disturb() string {
-	i, m := k.rng.IntN(len(k.proxies)), mode(1+k.rng.IntN(int(modes)-1))
+func (k *soak) disturbConnections() string {
+	i, m := k.rng.IntN(len(k.proxies)), mode(1+k.rng.IntN(int(modeCount)-1))
 	p := k.proxies[i]
 	p.set(m)
-	k.heal = append(k.heal, func() { p.set(pass) })
+	k.undo = append(k.undo, func() { p.set(pass) })
 	return fmt.Sprintf("proxy %d mode %d", i, m)
 }
 
-// run makes faults of all kinds for a time.
+// run injects faults of all kinds for the given duration.
 func (k *soak) run(length time.Duration) {
 	kinds := make([]func(*soak) string, 0, len(soakFaults))
 	for _, f := range soakFaults {
-		kinds = append(kinds, func(k *soak) string { return f.name + ": " + f.make(k) })
+		kinds = append(kinds, func(k *soak) string { return f.name + ": " + f.inject(k) })
 	}
 	k.runOf(kinds, length)
 }
 
-// runOf makes faults of some kinds for a time and checks what callers and servers have
-// seen so far. Up to three that last are open at once.
+// runOf injects faults of the given kinds for the given duration and checks the promises for
+// the calls so far. Up to three lasting faults are active at once.
 func (k *soak) runOf(kinds []func(*soak) string, length time.Duration) {
 	checked := 0
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		fmt.Fprintf(GinkgoWriter, "%s fault: %s\n", time.Now().Format("05.000"), kinds[k.rng.IntN(len(kinds))](k))
 		time.Sleep(time.Duration(100+k.rng.IntN(600)) * time.Millisecond)
-		for len(k.heal) > 2 {
-			k.heal[0]()
-			k.heal = k.heal[1:]
+		for len(k.undo) > 2 {
+			k.undo[0]()
+			k.undo = k.undo[1:]
 		}
-		checked = k.keepsPromisesFrom(checked, nil)
+		checked = k.checkPromisesFrom(checked, nil)
 	}
-	for _, heal := range k.heal {
-		heal()
+	for _, undo := range k.undo {
+		undo()
 	}
-	k.heal = nil
-	k.duties.Wait()
+	k.undo = nil
+	k.background.Wait()
 }
 
-// wellAgain waits until each host answers each kind of call.
-func (k *soak) wellAgain(seed uint64) {
+// waitForRecovery waits until each host answers each kind of call with success.
+func (k *soak) waitForRecovery(seed uint64) {
 	for _, h := range k.hostList() {
 		for _, c := range []standin.Call{confirm(), check(), appraise(), digest()} {
-			Eventually(func() int { return k.send(h, c).Status }).WithTimeout(recovery).
+			Eventually(func() int { return k.send(h, c).Status }).WithTimeout(recoveryTime).
 				Should(Equal(http.StatusOK), "seed %d, %s, %s", seed, h.name, c.Path)
 		}
 	}
 }
 
-// settleAfter is how long after all is well again its last effects may show:
-// servers in time out, hosts that have just found each other.
-const settleAfter = 2 * time.Second
+// settleTime is how long after recovery the last effects of faults may be seen: ejected servers,
+// hosts that have just found each other.
+const settleTime = 2 * time.Second
 
-// planned shuts one host after the other down under load, with nothing else
-// wrong, and checks that no request in progress is cut off.
-func (k *soak) planned() {
-	time.Sleep(settleAfter)
+// restartHostsInTurn shuts down and restarts two hosts one after the other under load, without
+// other faults, and checks that no request in progress is interrupted.
+func (k *soak) restartHostsInTurn() {
+	time.Sleep(settleTime)
 	first := len(k.replies)
-	k.under(8*time.Millisecond, func() {
+	k.duringLoad(8*time.Millisecond, func() {
 		for _, h := range k.hosts[:2] {
 			h.session.Terminate()
 			Eventually(h.session.Exited).WithTimeout(10 * time.Second).Should(BeClosed())
@@ -337,7 +337,7 @@
 			Eventually(func() int { return k.ready(h) }).Should(Equal(http.StatusOK))
 		}
 	})
-	k.keepsPromisesFrom(first, func(int) bool { return true })
+	k.checkPromisesFrom(first, func(int) bool { return true })
 }
 
 var _ = Describe("a soak of random faults", func() {
@@ -346,13 +346,13 @@
 			By(fmt.Sprint("seed ", seed))
 			k := &soak{rng: rand.New(rand.NewPCG(seed, 0))}
 			k.site = newSite(siteOptions{hosts: 4, engines: 3, apps: 3, proxied: true})
-			k.under(8*time.Millisecond, func() {
+			k.duringLoad(8*time.Millisecond, func() {
 				time.Sleep(300 * time.Millisecond)
 				k.run(soakLength())
 			})
-			k.wellAgain(seed)
-			k.planned()
-			k.keepsPromises()
+			k.waitForRecovery(seed)
+			k.restartHostsInTurn()
+			k.checkPromises()
 			ok, all := k.answered()
 			fmt.Printf("soak: seed %d: %d of %d answered whole\n", seed, ok, all)
 			k.stop()
