--- a/test/badinput_test.go
+++ b/test/badinput_test.go
@@ -23,8 +23,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// raw sends bytes to an address and returns what comes back.
-func raw(address, text string) string {
+// sendRaw sends text to an address over TCP and returns all bytes of the answer.
+func sendRaw(address, text string) string {
 	conn, err := net.Dial("tcp", address)
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = conn.Close() }()
@@ -36,8 +36,8 @@
 }
 
 var _ = Describe("bad input", Ordered, func() {
-	// Story: a partner shop's client sends broken requests all day. Each must
-	// get a clear typed error, and the requests of others go on.
+	// A client sends malformed requests continuously. Each must get a clear typed
+	// error, and the requests of other clients must not be affected.
 	var f *fleet
 	BeforeAll(func() {
 		f = newFleet(fleetOptions{hosts: 2, engines: 1, speed: 1})
@@ -60,7 +60,7 @@
 
 	DescribeTable("from callers gets a typed error",
 		func(path, body string, headers map[string]string, status int, code failure.Code) {
-			req, err := http.NewRequest(http.MethodPost, "http://"+f.hosts[0].caller+path, strings.NewReader(body))
+			req, err := http.NewRequest(http.MethodPost, "http://"+f.hosts[0].callerAddr+path, strings.NewReader(body))
 			Expect(err).NotTo(HaveOccurred())
 			req.Header.Set("Authorization", "Bearer "+secret)
 			for k, v := range headers {
@@ -75,7 +75,7 @@
 			Expect(e.Error.Code).To(Equal(code))
 			outcome := failure.NotRun
 			if headers[callerapi.HeaderTried] != "" {
-				outcome = failure.Unknown // a resend: it may have run where it was tried before
+				outcome = failure.Unknown // a resend may have run on a host that was tried before
 			}
 			Expect(e.Error.Outcome).To(Equal(outcome))
 			Expect(e.Error.Message).NotTo(BeEmpty())
@@ -94,38 +94,38 @@
 		Entry("no such call", "/v1/poems", `{}`, nil, 400, failure.BadRequest),
 	)
 
-	It("that comes too slowly is refused within the time to read", func() {
+	It("that arrives too slowly is refused within the read timeout", func() {
 		head := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n{\"model\"", secret)
 		begin := time.Now()
-		Expect(raw(f.hosts[0].caller, head)).To(ContainSubstring("too_slow"))
+		Expect(sendRaw(f.hosts[0].callerAddr, head)).To(ContainSubstring("too_slow"))
 		Expect(time.Since(begin)).To(BeNumerically("<", 5*time.Second))
 	})
 
 	It("with oversized headers is refused", func() {
 		text := "GET /v1/lookup HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("y", 64<<10) + "\r\n\r\n"
-		Expect(raw(f.hosts[0].caller, text)).To(ContainSubstring("431"))
+		Expect(sendRaw(f.hosts[0].callerAddr, text)).To(ContainSubstring("431"))
 	})
 
 	DescribeTable("on the internal port closes that connection only", func(send func(net.Conn)) {
-		conn, err := net.Dial("tcp", f.hosts[0].control)
+		conn, err := net.Dial("tcp", f.hosts[0].controlAddr)
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
 		send(conn)
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		_, err = io.Copy(io.Discard, conn)
-		var left net.Error // a reset closes it as well as an orderly end does
-		Expect(errors.As(err, &left) && left.Timeout()).To(BeFalse(), "closed, not left open")
+		var netErr net.Error // a reset and an orderly close both count as closed
+		Expect(errors.As(err, &netErr) && netErr.Timeout()).To(BeFalse(), "the connection must be closed")
 	},
 		Entry("noise", func(c net.Conn) { _, _ = c.Write([]byte(strings.Repeat("\xff", 300))) }),
-		Entry("a truncated greeting", func(c net.Conn) { _, _ = c.Write([]byte{20, 1}) }),
+		Entry("a truncated handshake", func(c net.Conn) { _, _ = c.Write([]byte{20, 1}) }),
 		Entry("another version", func(c net.Conn) {
 			_ = wire.Write(c, &wire.Hello{Version: wire.Version + 1, Host: "old", Fleet: "test"})
 		}),
 		Entry("another fleet", func(c net.Conn) { _ = wire.Write(c, &wire.Hello{Version: wire.Version, Host: "x", Fleet: "other"}) }),
 	)
 
-	It("says in the log which version a refused peer speaks", func() {
-		conn, err := net.Dial("tcp", f.hosts[1].control)
+	It("records the protocol version of a refused peer", func() {
+		conn, err := net.Dial("tcp", f.hosts[1].controlAddr)
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
 		Expect(wire.Write(conn, &wire.Hello{Version: 99, Host: "old", Fleet: "test"})).To(Succeed())
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -40,23 +40,24 @@
 )
 
 var (
-	zones = []string{"fukuoka-hall", "kumamoto-hall", "kagoshima-hall"}
-	tiers = map[string]int{"pickup": 1, "match": 1, "chat": 2, "appraisal": 3, "digest": 4}
+	zones     = []string{"fukuoka-hall", "kumamoto-hall", "kagoshima-hall"}
+	kindTiers = map[string]int{"pickup": 1, "match": 1, "chat": 2, "appraisal": 3, "digest": 4}
 )
 
-// fleetOptions size a fleet.
+// fleetOptions sets the size and the limits of a fleet.
 type fleetOptions struct {
-	hosts   int
-	engines int
-	speed   float64 // of the first engine; the others are twice as fast
-	slots   int     // sequences in an engine at once; 0: 32
-	relays  bool    // carry host to host traffic over relays
-	waiting int
-	held    int
-	hostLag time.Duration
+	hosts        int
+	engines      int
+	speed        float64       // relative speed of the first engine; the others are twice as fast
+	maxSequences int           // concurrent sequences of an engine; 0 means 32
+	relays       bool          // route traffic between hosts through relays
+	maxWaiting   int           // queue length of a service; 0 means the default
+	maxHeldBytes int           // bodies and answers on one host; 0 means the default
+	hostListLag  time.Duration // delay until the platform's host list shows a change
 }
 
-// fleet is the system with everything around it.
+// fleet is the system under test: entry hosts, backend servers and the stand-in
+// platform.
 type fleet struct {
 	opt      fleetOptions
 	doc      config.Document
@@ -67,37 +68,37 @@
 	engines  []*backendServer
 	services []*backendServer
 	hosts    []*host
-	net      int
+	subnet   int
 }
 
-// backendServer is a stand-in in this process behind a relay.
+// backendServer is a stand-in server of the test process behind a relay.
 type backendServer struct {
 	name   string
-	engine *standin.Engine
+	engine *standin.Engine // nil for a plain service
 	relay  *relay
 }
 
 // host is one gentiand process.
 type host struct {
-	f       *fleet
-	name    string
-	ip      string
-	zone    string
-	relay   *relay
-	session *gexec.Session
-	inc     string
-	caller  string
-	control string
-	admin   string
+	f           *fleet
+	name        string
+	ip          string
+	zone        string
+	relay       *relay
+	session     *gexec.Session
+	incarnation string
+	callerAddr  string
+	controlAddr string
+	adminAddr   string
 }
 
-var nextNet atomic.Int32
+var nextSubnet atomic.Int32
 
 func newFleet(opt fleetOptions) *fleet {
-	f := &fleet{opt: opt, log: history.NewLog(nil), net: 20 + int(nextNet.Add(1))}
-	f.platform = standin.NewPlatform(opt.hostLag)
+	f := &fleet{opt: opt, log: history.NewLog(nil), subnet: 20 + int(nextSubnet.Add(1))}
+	f.platform = standin.NewPlatform(opt.hostListLag)
 	f.store = newRelay(f.ip(250), false)
-	f.store.carry(f.serve(f.ip(249), f.platform.Handler()))
+	f.store.forward(f.serve(f.ip(249), f.platform.Handler()))
 	DeferCleanup(f.stop)
 	f.startBackends()
 	for i := range opt.hosts {
@@ -110,9 +111,9 @@
 	return f
 }
 
-func (f *fleet) ip(n int) string { return fmt.Sprintf("127.%d.0.%d", f.net, n) }
+func (f *fleet) ip(n int) string { return fmt.Sprintf("127.%d.0.%d", f.subnet, n) }
 
-// serve runs a handler on a free port and returns its address.
+// serve runs a handler on a free port of ip and returns its address.
 func (f *fleet) serve(ip string, h http.Handler) string {
 	l, err := net.Listen("tcp", ip+":0")
 	Expect(err).NotTo(HaveOccurred())
@@ -137,11 +138,11 @@
 		})
 		go e.Run(ctx)
 		b := &backendServer{name: fmt.Sprintf("engine-%d", i+1), engine: e, relay: newRelay(f.ip(100+i), false)}
-		b.relay.carry(f.serve(f.ip(100+i), e.Handler()))
+		b.relay.forward(f.serve(f.ip(100+i), e.Handler()))
 		f.engines = append(f.engines, b)
 	}
 	s := &backendServer{name: "app-1", relay: newRelay(f.ip(150), false)}
-	s.relay.carry(f.serve(f.ip(150), standin.NewService("app-1", 5*time.Millisecond, f.log).Handler()))
+	s.relay.forward(f.serve(f.ip(150), standin.NewService("app-1", 5*time.Millisecond, f.log).Handler()))
 	f.services = append(f.services, s)
 }
 
@@ -159,18 +160,18 @@
 		args = append(args, "--advertise-control", h.relay.address())
 	}
 	for _, other := range f.hosts {
-		args = append(args, "--seed", other.known())
+		args = append(args, "--seed", other.advertisedAddr())
 	}
 	h.start(args)
 	return h
 }
 
-// known is the control address that other hosts use.
-func (h *host) known() string {
+// advertisedAddr is the control address that other hosts use.
+func (h *host) advertisedAddr() string {
 	if h.relay != nil {
 		return h.relay.address()
 	}
-	return h.control
+	return h.controlAddr
 }
 
 func (h *host) start(args []string) {
@@ -182,16 +183,16 @@
 		m = startedLine.FindSubmatch(session.Err.Contents())
 		return m
 	}, 5*time.Second, 10*time.Millisecond).ShouldNot(BeNil(), "%s did not start", h.name)
-	h.inc, h.caller, h.control, h.admin = string(m[1]), string(m[2]), string(m[3]), string(m[4])
+	h.incarnation, h.callerAddr, h.controlAddr, h.adminAddr = string(m[1]), string(m[2]), string(m[3]), string(m[4])
 	if h.relay != nil {
-		h.relay.carry(h.control)
+		h.relay.forward(h.controlAddr)
 	}
 }
 
 func (f *fleet) stop() {
 	if CurrentSpecReport().Failed() {
-		GinkgoWriter.Printf("%v\n", f.reasons())
-		f.dump()
+		GinkgoWriter.Printf("%v\n", f.outcomesByReason())
+		f.dumpLogs()
 	}
 	for _, h := range f.hosts {
 		_ = h.session.Command.Process.Signal(syscall.SIGCONT)
@@ -212,11 +213,11 @@
 	f.store.close()
 }
 
-// dump prints what the hosts logged, for a failed spec.
-func (f *fleet) dump() {
+// dumpLogs prints the end of each host's log.
+func (f *fleet) dumpLogs() {
 	for _, h := range f.hosts {
 		text := h.session.Err.Contents()
-		GinkgoWriter.Printf("---- %s %s\n%s\n", h.name, h.inc, text[max(0, len(text)-4000):])
+		GinkgoWriter.Printf("---- %s %s\n%s\n", h.name, h.incarnation, text[max(0, len(text)-4000):])
 	}
 }
 
@@ -224,21 +225,21 @@
 	Expect(h.session.Command.Process.Signal(s)).To(Succeed())
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL.
 func (h *host) kill() {
 	h.f.log.Add(history.Event{Kind: history.Killed, Source: h.name})
 	h.signal(syscall.SIGKILL)
 	h.session.Wait(5 * time.Second)
 }
 
-// pause stops the process without its noticing; resume lets it go on.
+// pause stops the process with SIGSTOP, which it cannot observe; resume continues it.
 func (h *host) pause() {
 	h.f.log.Add(history.Event{Kind: history.Killed, Source: h.name})
 	h.signal(syscall.SIGSTOP)
-	Eventually(h.stopped).Should(BeTrue()) // until then it goes on answering
+	Eventually(h.stopped).Should(BeTrue()) // threads that have not stopped yet still answer
 }
 
-// stopped reports whether every thread of the process has stopped: its state is T then.
+// stopped reports whether every thread of the process is in state T (stopped).
 func (h *host) stopped() bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", h.session.Command.Process.Pid))
 	if err != nil || len(threads) == 0 {
@@ -259,7 +260,7 @@
 
 func (h *host) resume() { h.signal(syscall.SIGCONT) }
 
-// drain asks for a graceful shutdown.
+// drain requests a graceful shutdown.
 func (h *host) drain() {
 	h.f.log.Add(history.Event{Kind: history.Draining, Source: h.name})
 	h.signal(syscall.SIGTERM)
@@ -267,7 +268,7 @@
 
 func (h *host) get(path string, into any) error {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + h.admin + path)
+	resp, err := client.Get("http://" + h.adminAddr + path)
 	if err != nil {
 		return err
 	}
@@ -281,8 +282,8 @@
 	return s, err
 }
 
-// sees counts the members that a host sees in a state.
-func (h *host) sees(state string) int {
+// countMembers counts the members that a host reports in a state.
+func (h *host) countMembers(state string) int {
 	var reply admin.MembersReply
 	if h.get("/v1/members", &reply) != nil {
 		return -1
@@ -323,7 +324,7 @@
 
 func (f *fleet) eventuallyAlive(n int) {
 	for _, h := range f.running() {
-		Eventually(func() int { return h.sees(string(member.Alive)) }, 15*time.Second, 50*time.Millisecond).Should(Equal(n), h.name)
+		Eventually(func() int { return h.countMembers(string(member.Alive)) }, 15*time.Second, 50*time.Millisecond).Should(Equal(n), h.name)
 	}
 }
 
@@ -336,7 +337,8 @@
 	}
 }
 
-// homeOf returns the host that is the home of a service, once it is known.
+// homeOf waits for the home of a service, the host that runs the scheduler, and
+// returns it.
 func (f *fleet) homeOf(service string) *host {
 	var home *host
 	Eventually(func() *host {
@@ -356,22 +358,22 @@
 	return home
 }
 
-// other returns a host that is not the given one.
-func (f *fleet) other(than ...*host) *host {
+// otherHost returns a running host that is not excluded.
+func (f *fleet) otherHost(exclude ...*host) *host {
 	for _, h := range f.running() {
-		free := true
-		for _, t := range than {
-			free = free && h != t
+		eligible := true
+		for _, e := range exclude {
+			eligible = eligible && h != e
 		}
-		if free {
+		if eligible {
 			return h
 		}
 	}
-	Fail("no other host")
+	Fail("no running host is left after the exclusions")
 	return nil
 }
 
-// document is the configuration of the fleet.
+// document returns the initial configuration of the fleet.
 func (f *fleet) document() config.Document {
 	sum := sha256.Sum256([]byte(secret))
 	d := config.Document{
@@ -381,7 +383,7 @@
 		}},
 		Rules: config.Rules{
 			Lookup: config.LookupRules{TTL: config.Duration(time.Second)},
-			Limits: config.Limits{Waiting: f.opt.waiting, HeldBytes: f.opt.held},
+			Limits: config.Limits{Waiting: f.opt.maxWaiting, HeldBytes: f.opt.maxHeldBytes},
 		},
 	}
 	model := config.Service{Name: modelService, Kind: config.ModelService}
@@ -391,7 +393,7 @@
 			speed *= 2
 		}
 		model.BackendServers = append(model.BackendServers, config.BackendServer{
-			Name: e.name, Address: e.relay.address(), AvailabilityZone: zones[i%len(zones)], Speed: speed, MaxSequences: f.opt.slots,
+			Name: e.name, Address: e.relay.address(), AvailabilityZone: zones[i%len(zones)], Speed: speed, MaxSequences: f.opt.maxSequences,
 		})
 	}
 	plain := config.Service{Name: plainService, Kind: config.PlainService}
@@ -415,7 +417,8 @@
 	return d
 }
 
-// apply makes a document the newest version through the first running host.
+// apply proposes a document through the first running host and expects that it
+// becomes the newest version.
 func (f *fleet) apply(d config.Document) {
 	change, err := f.propose(f.running()[0], d, f.version, fmt.Sprintf("change-%d-%d", f.version, time.Now().UnixNano()))
 	Expect(err).NotTo(HaveOccurred())
@@ -428,7 +431,7 @@
 	body, err := json.Marshal(configsync.Proposal{Base: base, ChangeID: id, Author: h.name, Text: text})
 	Expect(err).NotTo(HaveOccurred())
 	client := http.Client{Timeout: 15 * time.Second}
-	resp, err := client.Post("http://"+h.admin+"/v1/config", "application/json", bytes.NewReader(body))
+	resp, err := client.Post("http://"+h.adminAddr+"/v1/config", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return configsync.Change{}, err
 	}
@@ -446,24 +449,26 @@
 	return c, err
 }
 
-// client returns a recorded client that starts from the given hosts.
+// client returns a client that knows the given hosts, or all running ones, and
+// records its requests in the history.
 func (f *fleet) client(service string, from ...*host) *caller.Client {
 	opt := caller.Options{
 		Service: service, Secret: secret,
-		Observer: &standin.Recorder{Log: f.log, Source: "caller", Service: service, Tiers: tiers},
+		Observer: &standin.Recorder{Log: f.log, Source: "caller", Service: service, Tiers: kindTiers},
 	}
 	if len(from) == 0 {
 		from = f.running()
 	}
 	for _, h := range from {
-		opt.Hosts = append(opt.Hosts, h.caller)
+		opt.Hosts = append(opt.Hosts, h.callerAddr)
 	}
 	c := caller.New(opt)
 	DeferCleanup(c.Close)
 	return c
 }
 
-// burst sends a mix of short work for a time and waits for all final words.
+// burst sends a mix of short requests for the duration d and waits for all final
+// outcomes. The rate is that of the model service, in requests per second.
 func (f *fleet) burst(rate float64, d time.Duration, during func()) *standin.Load {
 	l := &standin.Load{
 		Clients: map[string]*caller.Client{modelService: f.client(modelService), plainService: f.client(plainService)},
--- a/test/race_on_test.go
+++ b/test/race_on_test.go
@@ -2,5 +2,5 @@
 
 package test
 
-// raceArgs make the processes of the system run under the race detector too.
+// raceArgs are build flags that enable the race detector in the processes under test.
 var raceArgs = []string{"-race"}
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -8,29 +8,29 @@
 	. "github.com/onsi/gomega"
 )
 
-// relay carries TCP and UDP to one address and can stop carrying without
-// closing anything, as a middle box does that lost track of its connections.
+// relay forwards TCP and UDP to one address. It can stop forwarding without
+// closing connections, like a middlebox that has lost its connection state.
 type relay struct {
-	to  string
-	tcp net.Listener
-	udp net.PacketConn
-
-	mu      sync.Mutex
-	blocked map[string]bool // source IP numbers; "*" is all
-	conns   map[*relayed]bool
-	peers   map[string]net.Conn // UDP sockets by source address
+	target string
+	tcp    net.Listener
+	udp    net.PacketConn
+
+	mu       sync.Mutex
+	blocked  map[string]bool // by source IP address; "*" is all
+	conns    map[*relayedConn]bool
+	udpConns map[string]net.Conn // UDP sockets by source address
 }
 
-// relayed is one carried connection.
-type relayed struct {
-	from   string
-	frozen chan struct{} // closed when it carries nothing any more
-	once   sync.Once
-	a, b   net.Conn
+// relayedConn is one forwarded TCP connection.
+type relayedConn struct {
+	sourceIP       string
+	frozen         chan struct{} // closed when forwarding has stopped
+	once           sync.Once
+	client, server net.Conn
 }
 
 func newRelay(ip string, withUDP bool) *relay {
-	r := &relay{blocked: map[string]bool{}, conns: map[*relayed]bool{}, peers: map[string]net.Conn{}}
+	r := &relay{blocked: map[string]bool{}, conns: map[*relayedConn]bool{}, udpConns: map[string]net.Conn{}}
 	Eventually(func() error {
 		var err error
 		if r.tcp, err = net.Listen("tcp", ip+":0"); err != nil || !withUDP {
@@ -46,59 +46,59 @@
 
 func (r *relay) address() string { return r.tcp.Addr().String() }
 
-// carry starts to carry to an address.
-func (r *relay) carry(to string) {
-	r.to = to
+// forward starts forwarding to an address.
+func (r *relay) forward(target string) {
+	r.target = target
 	go r.acceptTCP()
 	if r.udp != nil {
-		go r.carryUDP()
+		go r.forwardUDP()
 	}
 }
 
-func (r *relay) isBlocked(from string) bool {
+func (r *relay) isBlocked(sourceIP string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.blocked["*"] || r.blocked[from]
+	return r.blocked["*"] || r.blocked[sourceIP]
 }
 
 func (r *relay) acceptTCP() {
 	for {
-		a, err := r.tcp.Accept()
+		client, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
-		from, _, _ := net.SplitHostPort(a.RemoteAddr().String())
-		c := &relayed{from: from, frozen: make(chan struct{}), a: a}
-		if r.isBlocked(from) {
+		sourceIP, _, _ := net.SplitHostPort(client.RemoteAddr().String())
+		c := &relayedConn{sourceIP: sourceIP, frozen: make(chan struct{}), client: client}
+		if r.isBlocked(sourceIP) {
 			c.freeze()
 		}
 		r.mu.Lock()
 		r.conns[c] = true
 		r.mu.Unlock()
-		go r.join(c)
+		go r.connect(c)
 	}
 }
 
-func (r *relay) join(c *relayed) {
+func (r *relay) connect(c *relayedConn) {
 	select {
-	case <-c.frozen: // a blocked newcomer is accepted and hears nothing
+	case <-c.frozen: // a new connection from a blocked address is accepted and receives nothing
 		return
 	default:
 	}
-	b, err := net.DialTimeout("tcp", r.to, time.Second)
+	server, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
-		_ = c.a.(*net.TCPConn).SetLinger(0)
-		_ = c.a.Close()
+		_ = c.client.(*net.TCPConn).SetLinger(0)
+		_ = c.client.Close()
 		return
 	}
-	c.b = b
-	go c.copy(c.a, b)
-	c.copy(b, c.a)
+	c.server = server
+	go c.copy(c.client, server)
+	c.copy(server, c.client)
 }
 
-func (c *relayed) freeze() { c.once.Do(func() { close(c.frozen) }) }
+func (c *relayedConn) freeze() { c.once.Do(func() { close(c.frozen) }) }
 
-func (c *relayed) copy(from, to net.Conn) {
+func (c *relayedConn) copy(from, to net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -120,7 +120,7 @@
 	}
 }
 
-func (r *relay) carryUDP() {
+func (r *relay) forwardUDP() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := r.udp.ReadFrom(buf)
@@ -131,28 +131,28 @@
 		if r.isBlocked(ip) {
 			continue
 		}
-		if c := r.udpPeer(from); c != nil {
+		if c := r.udpConn(from); c != nil {
 			_, _ = c.Write(buf[:n])
 		}
 	}
 }
 
-func (r *relay) udpPeer(from net.Addr) net.Conn {
+func (r *relay) udpConn(from net.Addr) net.Conn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.peers[from.String()]; c != nil {
+	if c := r.udpConns[from.String()]; c != nil {
 		return c
 	}
-	c, err := net.Dial("udp", r.to)
+	c, err := net.Dial("udp", r.target)
 	if err != nil {
 		return nil
 	}
-	r.peers[from.String()] = c
+	r.udpConns[from.String()] = c
 	go func() {
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := c.Read(buf)
-			if _, closed := err.(net.Error); closed && n == 0 {
+			if _, isNetError := err.(net.Error); isNetError && n == 0 {
 				if opErr, ok := err.(*net.OpError); ok && opErr.Err.Error() == "use of closed network connection" {
 					return
 				}
@@ -167,8 +167,9 @@
 	return c
 }
 
-// freezeOpen silences the connections of now; new ones work.
-func (r *relay) freezeOpen() int {
+// freezeOpenConns stops forwarding on the open connections and returns their
+// number. New connections work.
+func (r *relay) freezeOpenConns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -176,26 +177,27 @@
 		c.freeze()
 		n++
 	}
-	r.conns = map[*relayed]bool{}
+	r.conns = map[*relayedConn]bool{}
 	return n
 }
 
-// block silences what comes from an IP number, old and new, until unblock.
-func (r *relay) block(from string) {
+// block stops forwarding for a source IP address, on open and new connections,
+// until unblock.
+func (r *relay) block(sourceIP string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.blocked[from] = true
+	r.blocked[sourceIP] = true
 	for c := range r.conns {
-		if from == "*" || c.from == from {
+		if sourceIP == "*" || c.sourceIP == sourceIP {
 			c.freeze()
 		}
 	}
 }
 
-func (r *relay) unblock(from string) {
+func (r *relay) unblock(sourceIP string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.blocked, from)
+	delete(r.blocked, sourceIP)
 }
 
 func (r *relay) close() {
@@ -206,12 +208,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		_ = c.a.Close()
-		if c.b != nil {
-			_ = c.b.Close()
+		_ = c.client.Close()
+		if c.server != nil {
+			_ = c.server.Close()
 		}
 	}
-	for _, c := range r.peers {
+	for _, c := range r.udpConns {
 		_ = c.Close()
 	}
 }
--- a/test/suite_test.go
+++ b/test/suite_test.go
@@ -1,6 +1,6 @@
-// Package test proves the promises of the system over real processes: entry
-// hosts are gentiand processes that are killed, paused and cut off, while
-// callers, backend servers and the platform record what they see.
+// Package test checks the guarantees of the system over real processes: entry
+// hosts are gentiand processes that are killed, paused and disconnected, while
+// callers, backend servers and the platform record events in a history.
 package test
 
 import (
--- a/test/words_test.go
+++ b/test/words_test.go
@@ -9,8 +9,8 @@
 	"github.com/gentianflow/gentianflow/internal/history"
 )
 
-// keepsPromises checks the history and says how much was seen.
-func (f *fleet) keepsPromises() {
+// checkHistory fails the spec if the history violates a guarantee.
+func (f *fleet) checkHistory() {
 	GinkgoHelper()
 	events := f.log.Events()
 	for _, v := range history.Check(events) {
@@ -18,8 +18,8 @@
 	}
 }
 
-// reasons counts the final words by outcome and reason.
-func (f *fleet) reasons() map[string]int {
+// outcomesByReason counts the final outcomes by tier, outcome and reason.
+func (f *fleet) outcomesByReason() map[string]int {
 	out := map[string]int{}
 	for _, e := range f.log.Events() {
 		if e.Kind == history.Told {
@@ -29,8 +29,9 @@
 	return out
 }
 
-// unknownThoughStarted lists the ids told unknown that a server had begun.
-func (f *fleet) unknownThoughStarted() []string {
+// startedButUnknown lists the request ids that a backend server started and whose
+// outcome was reported as unknown.
+func (f *fleet) startedButUnknown() []string {
 	started := map[string]bool{}
 	for _, e := range f.log.Events() {
 		started[e.ID] = started[e.ID] || e.Kind == history.Started
@@ -44,8 +45,8 @@
 	return out
 }
 
-// told counts the final words of an outcome.
-func (f *fleet) told(outcome string) int {
+// countOutcome counts the final outcomes of one kind.
+func (f *fleet) countOutcome(outcome string) int {
 	n := 0
 	for _, e := range f.log.Events() {
 		if e.Kind == history.Told && string(e.Outcome) == outcome {
