--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages between entry hosts and their framing.
+// Package wire defines the messages between entry hosts and their framing.
 // control.pb.go is generated from control.proto by protoc-gen-go and is
-// committed, so that the build needs no generator.
+// committed, so that a build does not need the generator.
 package wire
 
 import (
@@ -14,17 +14,18 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Version of the protocol. Sessions between different versions are refused
-// with a message that names both.
+// Version is the version of the protocol. A session between hosts of different
+// versions is refused with a message that names both.
 const Version = 1
 
-// MaxMessage bounds one message in bytes; a longer one ends the session.
+// MaxMessage is the maximum size of a message in bytes. A longer message ends
+// the session.
 const MaxMessage = 8 << 20
 
 // Message is any message of the protocol.
 type Message = proto.Message
 
-// Write sends one message with its length before it.
+// Write sends one message, prefixed with its length as a varint.
 func Write(w io.Writer, m proto.Message) error {
 	if _, err := protodelim.MarshalTo(w, m); err != nil {
 		return failure.Wrap(failure.PeerSilent, err, "write %s", m.ProtoReflect().Descriptor().Name())
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// Read receives one message. A message over MaxMessage, or bytes that are no
-// message, fail with BadFrame; the end of the stream fails with PeerSilent.
+// Read receives one message. It returns BadFrame for a message over MaxMessage
+// or one that cannot be decoded, and PeerSilent at the end of the stream.
 func Read(r *bufio.Reader, m proto.Message) error {
 	err := protodelim.UnmarshalOptions{MaxSize: MaxMessage}.UnmarshalFrom(r, m)
 	if err == nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,14 +20,14 @@
 	RunSpecs(t, "wire")
 }
 
-var _ = Describe("the framing", func() {
-	It("refuses a message over the limit without reading it", func() {
-		// A length of 2^40 in the varint that comes first.
+var _ = Describe("message framing", func() {
+	It("rejects a message over the size limit without reading it", func() {
+		// The varint length prefix is 2^40.
 		r := bufio.NewReader(bytes.NewReader([]byte{0x80, 0x80, 0x80, 0x80, 0x80, 0x20}))
 		Expect(failure.Is(wire.Read(r, &wire.Batch{}), failure.BadFrame)).To(BeTrue())
 	})
 
-	It("tells a truncated message from a damaged one", func() {
+	It("distinguishes a truncated message from a malformed one", func() {
 		var b bytes.Buffer
 		Expect(wire.Write(&b, &wire.Hello{Host: "entry-1"})).To(Succeed())
 		cut := bufio.NewReader(bytes.NewReader(b.Bytes()[:b.Len()-2]))
@@ -36,7 +36,7 @@
 		Expect(failure.Is(wire.Read(bad, &wire.Hello{}), failure.BadFrame)).To(BeTrue())
 	})
 
-	It("keeps a register within the bytes that the control budget allows", func() {
+	It("encodes a Register frame in the size that the control traffic budget allows", func() {
 		req := core.Request{
 			ID: ident.NewRequestID(ident.NewIncarnation()), Account: 1 << 31, Tier: 3, PromptTokens: 30500, OutputTokens: 700,
 			Prefix: 1 << 63, PrefixTokens: 30000, Whole: 1 << 62,
@@ -47,8 +47,8 @@
 	})
 })
 
-// FuzzRead feeds the decoder of the internal port; it must fail with a typed
-// error or give a message that can be acted on.
+// FuzzRead checks that any input to Read gives either an error with the code
+// BadFrame or PeerSilent, or a batch that a cell processes without a panic.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
 	id := ident.NewRequestID(7)
@@ -59,7 +59,7 @@
 		var batch wire.Batch
 		if err := wire.Read(bufio.NewReader(bytes.NewReader(in)), &batch); err != nil {
 			if c := failure.From(err).Code; c != failure.BadFrame && c != failure.PeerSilent {
-				t.Fatalf("untyped: %v", err)
+				t.Fatalf("unexpected error code: %v", err)
 			}
 			return
 		}
