--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -28,15 +28,15 @@
 	configured := core.DefaultPolicy()
 	override(&configured.MissPrice, c.Float("miss-price"))
 	override(&configured.EvictPrice, c.Float("evict-price"))
-	override(&configured.PriceShare, c.Float("price-share"))
-	override(&configured.AgeShare, c.Float("age-share"))
-	override(&configured.HeldAgeShare, c.Float("held-age-share"))
+	override(&configured.MaxPriceShare, c.Float("price-share"))
+	override(&configured.UncachedAgeShare, c.Float("age-share"))
+	override(&configured.CachedAgeShare, c.Float("held-age-share"))
 	override(&configured.MissBudget, c.Float("miss-budget"))
 	override(&configured.Headroom, c.Int("headroom"))
 	override(&configured.UrgentPrefill, c.Duration("urgent-prefill"))
 	override(&configured.BulkPrefill, c.Duration("bulk-prefill"))
 	noPick := core.DefaultPolicy()
-	noPick.ServerPicks = false
+	noPick.PickCached = false
 	bareMiss := noPick
 	bareMiss.MissPrice = 1
 	return []policy{
@@ -168,7 +168,7 @@
 		for _, t := range r.Tiers {
 			offered, inTime = offered+t.Offered, inTime+t.InTime
 		}
-		if float64(inTime) < minInTimeShare*float64(offered) || r.Ended > c.Duration("for")+maxSettleTime {
+		if float64(inTime) < minInTimeShare*float64(offered) || r.EndedAt > c.Duration("for")+maxSettleTime {
 			return false
 		}
 	}
@@ -218,13 +218,13 @@
 	}
 	runs.Wait()
 	fmt.Printf("%4.1f  %-16s", load, p.name)
-	for _, tier := range results[0].Numbers() {
+	for _, tier := range results[0].TierNumbers() {
 		fmt.Printf(" %d: %s", tier, medianAndRange(results, func(r replay.Result) float64 { return r.Tiers[tier].Goodput() }))
 		if c.Bool("bound") {
 			fmt.Printf(" of bound %.3f", medianBound(results, bounds, tier))
 		}
 	}
-	late := func(r replay.Result) float64 { return float64(r.Unread) / float64(max(1, r.Computed)) }
+	late := func(r replay.Result) float64 { return float64(r.Undelivered) / float64(max(1, r.Computed)) }
 	fmt.Printf("  %s %s", medianAndRange(results, replay.Result.Wasted), medianAndRange(results, late))
 	if c.Int("flood") > 0 {
 		others := func(r replay.Result) float64 {
@@ -238,7 +238,7 @@
 		}
 		fmt.Printf("  other accounts %s", medianAndRange(results, others))
 	}
-	p99 := medianAndRange(results, func(r replay.Result) float64 { return r.Tiers[r.Numbers()[0]].P99().Seconds() })
+	p99 := medianAndRange(results, func(r replay.Result) float64 { return r.Tiers[r.TierNumbers()[0]].P99().Seconds() })
 	fmt.Printf("  p99 of the first tier %s s\n", p99)
 }
 
--- a/bench/traces/main.go
+++ b/bench/traces/main.go
@@ -86,7 +86,7 @@
 
 func write(path string, t replay.Trace) error {
 	r := replay.Run(t, replay.Core(core.DefaultPolicy()))
-	t.Lines = append(t.Lines, r.Stated()...)
+	t.Lines = append(t.Lines, r.ExpectLines()...)
 	out, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/gentianctl/proof.go
+++ b/cmd/gentianctl/proof.go
@@ -31,7 +31,7 @@
 			}
 			prefill := history.SumPrefill(all)
 			fmt.Printf("%d events, %d violations; prompt tokens %d, computed %d, wasted prefill %.3f (repeated %d, unread %d)\n",
-				len(all), len(violations), prefill.Prompt, prefill.Computed, prefill.Wasted(), prefill.Repeated, prefill.Unread)
+				len(all), len(violations), prefill.Prompt, prefill.Computed, prefill.Wasted(), prefill.Repeated, prefill.Undelivered)
 			if len(violations) > 0 {
 				return failure.New(failure.Internal, "%d guarantees violated", len(violations))
 			}
@@ -80,8 +80,8 @@
 		return 0, err
 	}
 	result := replay.Run(trace, replay.Core(core.DefaultPolicy()))
-	fmt.Printf("%s: virtual end %s, wasted prefill %.3f\n", name, result.Ended, result.Wasted())
-	for _, n := range result.Numbers() {
+	fmt.Printf("%s: virtual end %s, wasted prefill %.3f\n", name, result.EndedAt, result.Wasted())
+	for _, n := range result.TierNumbers() {
 		tier := result.Tiers[n]
 		fmt.Printf("  tier %d: %d offered, %d in time, %d late, %d shed\n", n, tier.Offered, tier.InTime, tier.Late, tier.Shed)
 	}
--- a/cmd/gentianlab/policies.go
+++ b/cmd/gentianlab/policies.go
@@ -41,8 +41,8 @@
 			if err := policy.Set(settings); err != nil {
 				return err
 			}
-			for _, r := range experiment.Rows(load, policy, c.Int("seeds")) {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatFigure(r.InTime), formatFigure(r.Served), formatFigure(r.Late), formatFigure(r.LargestServed))
+			for _, r := range experiment.SimulateRows(load, policy, c.Int("seeds")) {
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatFigure(r.InTime), formatFigure(r.Served), formatFigure(r.Late), formatFigure(r.LargestTenthServed))
 			}
 		}
 	}
@@ -70,4 +70,6 @@
 	return settings
 }
 
-func formatFigure(f experiment.Figure) string { return fmt.Sprintf("%.3f ±%.3f", f.Mean, f.Within) }
+func formatFigure(f experiment.Estimate) string {
+	return fmt.Sprintf("%.3f ±%.3f", f.Mean, f.HalfWidth)
+}
--- a/cmd/gentianlab/rollout.go
+++ b/cmd/gentianlab/rollout.go
@@ -38,9 +38,9 @@
 		if !matchesPrefix(scenario.Name, c.Args().Slice()) {
 			continue
 		}
-		sum := experiment.SumRollouts(scenario, seeds)
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%.2f\t%.2f\t%.1fs\t%d\t%d\t%d\n", scenario.Name, sum.Completed, sum.RolledBack, sum.Running,
-			formatBound(scenario), sum.Exposure, sum.MostExposure, sum.Ended.Seconds(), sum.Bad, sum.Late, sum.Lost)
+		summary := experiment.SimulateRollouts(scenario, seeds)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%.2f\t%.2f\t%.1fs\t%d\t%d\t%d\n", scenario.Name, summary.Completed, summary.RolledBack, summary.Running,
+			formatBound(scenario), summary.MedianExposure, summary.MaxExposure, summary.MedianDuration.Seconds(), summary.MaxBadAnswers, summary.Late, summary.Lost)
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -53,7 +53,7 @@
 
 // formatBound formats the bound of a roll-out, "-" if there is none.
 func formatBound(scenario *experiment.Rollout) string {
-	missed, ok := experiment.BestMisses(scenario, boundRuns)
+	missed, ok := experiment.MinMissRate(scenario, boundRuns)
 	if !ok {
 		return "-"
 	}
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -10,13 +10,13 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Orderer reads and sets the state of a model engine: its models, adapters,
-// versions and role. It implements order.Orderer.
-type Orderer struct{ w *Watcher }
+// ServerClient reads and sets the state of a model engine: its models, adapters,
+// versions and role. It implements order.ServerClient.
+type ServerClient struct{ w *Watcher }
 
-// NewOrderer returns an orderer that uses a shared transport.
-func NewOrderer(address string, t http.RoundTripper) *Orderer {
-	return &Orderer{w: NewWatcher(address, t)}
+// NewServerClient returns a client that uses a shared transport.
+func NewServerClient(address string, t http.RoundTripper) *ServerClient {
+	return &ServerClient{w: NewWatcher(address, t)}
 }
 
 type orderBody struct {
@@ -25,25 +25,25 @@
 }
 
 // State reads the server's current state.
-func (o *Orderer) State(ctx context.Context) (string, error) {
+func (c *ServerClient) State(ctx context.Context) (string, error) {
 	var b orderBody
-	err := o.w.get(ctx, "/v1/state", &b)
+	err := c.w.get(ctx, "/v1/state", &b)
 	return b.State, err
 }
 
 // Order orders the server into a state, under a fencing number. It fails with
 // StaleFence when the server has seen a higher number.
-func (o *Orderer) Order(ctx context.Context, fence uint64, state string) error {
+func (c *ServerClient) Order(ctx context.Context, fence uint64, state string) error {
 	text, err := json.Marshal(orderBody{Fence: fence, State: state})
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "encode order")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, o.w.base+"/v1/orders", io.NopCloser(bytes.NewReader(text)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.w.base+"/v1/orders", io.NopCloser(bytes.NewReader(text)))
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "build order")
 	}
 	req.ContentLength = int64(len(text))
-	resp, err := o.w.client.Do(req)
+	resp, err := c.w.client.Do(req)
 	if err != nil {
 		return failure.Wrap(failure.ServerLost, err, "order")
 	}
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -131,7 +131,7 @@
 	if s.OutputTokens == 0 {
 		s.OutputTokens = defaultMaxTokens
 	}
-	s.Whole = prefix.FullKey(text)
+	s.PromptKey = prefix.FullKey(text)
 	tokens, given, err := intHeader(r, HeaderPrefixTokens, len(text))
 	if err != nil {
 		return err
@@ -255,7 +255,7 @@
 	case len(key) > maxKeyBytes:
 		return failure.New(failure.BadRequest, "%s of %d bytes; at most %d are allowed", HeaderKey, len(key), maxKeyBytes)
 	case key != "":
-		s.ID, s.Keyed = ident.KeyedRequestID(s.Account, key), true
+		s.ID, s.HasIdempotencyKey = ident.KeyedRequestID(s.Account, key), true
 		return nil
 	case id == "":
 		s.ID = ident.NewRequestID(a.deps.Members.Self().Incarnation)
--- a/internal/callerapi/encode.go
+++ b/internal/callerapi/encode.go
@@ -76,7 +76,7 @@
 // a failure is complete.
 func (a *API) encodeAnswer(ctx context.Context, w http.ResponseWriter, response any) error {
 	rep := response.(*reply)
-	unfollow := rep.record.Follow()
+	unfollow := rep.record.AddReader()
 	defer unfollow()
 	w.Header().Set(HeaderRequestID, rep.record.Sub.ID.String())
 	w.Header().Set(HeaderIncarnation, a.deps.Members.Self().Incarnation.String())
@@ -144,7 +144,7 @@
 				return
 			}
 		}
-		if length, _ := answer.Whole(); ended && offset >= length {
+		if length, _ := answer.LengthAndChecksum(); ended && offset >= length {
 			endStream(w, answer, err, id)
 			return
 		}
@@ -163,7 +163,7 @@
 
 func endStream(w http.ResponseWriter, answer *holder.Answer, err error, id string) {
 	name := EventEnd
-	length, sum := answer.Whole()
+	length, sum := answer.LengthAndChecksum()
 	var body any = EndMark{Length: length, Checksum: strconv.FormatUint(sum, 16), ID: id}
 	if err != nil {
 		name, body = EventError, errorBody(failure.From(err), id)
@@ -196,11 +196,11 @@
 			return
 		}
 		body = append(body, data...)
-		if length, _ := answer.Whole(); ended && len(body) >= length {
+		if length, _ := answer.LengthAndChecksum(); ended && len(body) >= length {
 			break
 		}
 	}
-	length, sum := answer.Whole()
+	length, sum := answer.LengthAndChecksum()
 	w.Header().Set(HeaderLength, strconv.Itoa(length))
 	w.Header().Set(HeaderChecksum, strconv.FormatUint(sum, 16))
 	status, contentType := answer.Head()
--- a/internal/cellwire/holder.go
+++ b/internal/cellwire/holder.go
@@ -20,7 +20,7 @@
 func Event(f *wire.Frame, holder ident.Incarnation, now core.Time) (core.Event, error) {
 	switch b := f.Body.(type) {
 	case *wire.Frame_Heard:
-		return core.Heard{Holder: holder, Stamp: core.Stamp(b.Heard)}, nil
+		return core.Heartbeat{Holder: holder, Stamp: core.Stamp(b.Heard)}, nil
 	case *wire.Frame_Register:
 		return register(b.Register, holder, now)
 	case *wire.Frame_Withdraw:
@@ -39,7 +39,7 @@
 	case *wire.Frame_Progress:
 		return progress(b.Progress), nil
 	case *wire.Frame_Left:
-		return core.Left{Holder: holder}, nil
+		return core.HolderLeft{Holder: holder}, nil
 	}
 	return nil, failure.New(failure.BadFrame, "unexpected frame %T from a holder", f.Body)
 }
@@ -52,7 +52,7 @@
 	req := core.Request{
 		ID: id, Holder: holder, Attempt: r.GetAttempt(), Account: ident.AccountID(r.GetAccount()), Tier: int(r.GetTier()),
 		PromptTokens: int(r.GetPromptTokens()), OutputTokens: int(r.GetOutputTokens()),
-		Prefix: prefix.Key(r.GetPrefix()), PrefixTokens: int(r.GetPrefixTokens()), Whole: prefix.Key(r.GetWhole()),
+		Prefix: prefix.Key(r.GetPrefix()), PrefixTokens: int(r.GetPrefixTokens()), PromptKey: prefix.Key(r.GetWhole()),
 		Deadline: now.Add(time.Duration(r.GetDeadlineMs()) * time.Millisecond),
 		Resend:   r.GetResend(), Claimed: r.GetClaimed(),
 	}
@@ -84,7 +84,7 @@
 		return core.ServerRestarted{Server: ident.ServerID(p.GetServer())}
 	}
 	return core.Progress{
-		Server: ident.ServerID(p.GetServer()), Tokens: int(p.GetTokens()), SeqTime: micros(p.GetSeqTimeUs()),
+		Server: ident.ServerID(p.GetServer()), Tokens: int(p.GetTokens()), StreamTime: micros(p.GetSeqTimeUs()),
 	}
 }
 
@@ -96,7 +96,7 @@
 	msg := &wire.Register{
 		Id: r.ID[:], Attempt: r.Attempt, Account: uint32(r.Account), Tier: uint32(r.Tier),
 		PromptTokens: uint32(r.PromptTokens), OutputTokens: uint32(r.OutputTokens),
-		Prefix: uint64(r.Prefix), PrefixTokens: uint32(r.PrefixTokens), Whole: uint64(r.Whole),
+		Prefix: uint64(r.Prefix), PrefixTokens: uint32(r.PrefixTokens), Whole: uint64(r.PromptKey),
 		DeadlineMs: uint32(max(0, left.Milliseconds())), Resend: r.Resend, Claimed: r.Claimed,
 	}
 	for _, t := range r.Tried {
--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -61,7 +61,7 @@
 				defer GinkgoRecover()
 				for round := range 6 {
 					base := uint64(round)
-					op := history.RegisterOp{Client: operator, Call: time.Now().UnixNano(), Base: base}
+					op := history.RegisterOp{Client: operator, Call: time.Now().UnixNano(), BaseVersion: base}
 					_, err := s.Apply(context.Background(), configsync.Proposal{Base: base, ChangeID: fmt.Sprintf("%d-%d", operator, round), Text: text})
 					op.Return = time.Now().UnixNano()
 					op.Accepted = err == nil
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -48,7 +48,7 @@
 		id := ident.RequestID{12: byte(next >> 24), 13: byte(next >> 16), 14: byte(next >> 8), 15: byte(next)}
 		out = cell.Step(now, core.Register{Request: core.Request{
 			ID: id, Holder: holder, Account: ident.AccountID(r.IntN(40)), Tier: 2 + r.IntN(3), PromptTokens: 2300, OutputTokens: 100,
-			Prefix: prefix.Key(1 + r.IntN(300)), PrefixTokens: 2000, Whole: prefix.Key(1<<40 + uint64(next)),
+			Prefix: prefix.Key(1 + r.IntN(300)), PrefixTokens: 2000, PromptKey: prefix.Key(1<<40 + uint64(next)),
 			Deadline: now.Add(time.Hour),
 		}}, out[:0])
 		collectGrants(out)
@@ -58,7 +58,7 @@
 			b.Fatalf("only %d wait and %d run", cell.Waiting(), len(running))
 		}
 		now = now.Add(2 * time.Millisecond)
-		out = cell.Step(now, core.Heard{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
+		out = cell.Step(now, core.Heartbeat{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
 		collectGrants(out)
 		out = cell.Step(now, core.Tick{}, out[:0])
 		collectGrants(out)
@@ -69,7 +69,7 @@
 	for i := range b.N {
 		now = now.Add(200 * time.Microsecond)
 		if i%1000 == 0 {
-			out = cell.Step(now, core.Heard{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
+			out = cell.Step(now, core.Heartbeat{Holder: holder, Stamp: core.Stamp(now)}, out[:0])
 			collectGrants(out)
 		}
 		register()
--- a/internal/core/cache.go
+++ b/internal/core/cache.go
@@ -124,8 +124,8 @@
 // prompt is added.
 func (c *Cell) recordUse(now Time, s *server, r *Request) {
 	c.touchCache(now, s, r.Prefix, r.PrefixTokens, true)
-	if r.Whole != r.Prefix {
-		c.touchCache(now, s, r.Whole, r.PromptTokens-r.PrefixTokens, false)
+	if r.PromptKey != r.Prefix {
+		c.touchCache(now, s, r.PromptKey, r.PromptTokens-r.PrefixTokens, false)
 	}
 }
 
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -79,7 +79,7 @@
 		c.register(e.Request)
 	case Finished:
 		c.finished(e)
-	case Heard:
+	case Heartbeat:
 		c.heard(e)
 	case Tick:
 		c.tick()
@@ -110,11 +110,11 @@
 		c.members(e)
 	case Report:
 		c.report(e)
-	case Left:
+	case HolderLeft:
 		c.left(e)
-	case Gone:
+	case HolderLost:
 		c.gone(e)
-	case Inherit:
+	case LedgerHandover:
 		c.inherit(e)
 	case Locate:
 		c.locate(e)
--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -34,7 +34,7 @@
 // advance moves the clock on and sends the holder's heartbeat and a tick.
 func (f *fixture) advance(d time.Duration) []core.Action {
 	f.now = f.now.Add(d)
-	out := f.step(core.Heard{Holder: holder, Stamp: core.Stamp(f.now) + 1})
+	out := f.step(core.Heartbeat{Holder: holder, Stamp: core.Stamp(f.now) + 1})
 	return append(out, f.step(core.Tick{})...)
 }
 
@@ -165,8 +165,8 @@
 			f.register(2, nil)
 		}
 		for range 4 {
-			f.step(core.Progress{Server: 1, Tokens: 200, SeqTime: 5 * time.Second})
-			f.step(core.Progress{Server: 2, Tokens: 1000, SeqTime: 5 * time.Second})
+			f.step(core.Progress{Server: 1, Tokens: 200, StreamTime: 5 * time.Second})
+			f.step(core.Progress{Server: 2, Tokens: 1000, StreamTime: 5 * time.Second})
 		}
 		for range 4 {
 			_, out := f.register(2, nil)
@@ -202,13 +202,13 @@
 	It("frees the slot of a dead holder's request only at its predicted end", func() {
 		f := newFixture(100, singleSlotServer)
 		f.register(3, nil)
-		f.step(core.Gone{Holder: holder, Proved: true})
+		f.step(core.HolderLost{Holder: holder, Proved: true})
 		const other = ident.Incarnation(8)
 		f.step(core.Report{Holder: other, Stamp: 1})
 		f.step(core.Register{Request: core.Request{ID: ident.RequestID{1}, Holder: other, Tier: 2, PromptTokens: 10, OutputTokens: 5, Deadline: f.now.Add(time.Minute)}})
 		Expect(f.cell.Running()).To(Equal(1))
 		f.now = f.now.Add(10 * time.Second)
-		f.step(core.Heard{Holder: other, Stamp: core.Stamp(f.now)})
+		f.step(core.Heartbeat{Holder: other, Stamp: core.Stamp(f.now)})
 		Expect(idsOfKind(f.step(core.Tick{}), core.Grant)).To(HaveLen(1))
 	})
 })
@@ -244,7 +244,7 @@
 		waits, _ := f.register(3, nil)
 		f.now = f.now.Add(1500 * time.Millisecond)
 		Expect(idsOfKind(f.finish(first), core.Grant)).To(BeEmpty())
-		out := f.step(core.Heard{Holder: holder, Stamp: 5000})
+		out := f.step(core.Heartbeat{Holder: holder, Stamp: 5000})
 		Expect(idsOfKind(out, core.Grant)).To(Equal([]ident.RequestID{waits}))
 		Expect(out[0].ValidUntil).To(Equal(core.Stamp(5000) + core.Stamp(core.GrantTTL)))
 	})
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -115,7 +115,7 @@
 	evicted := s.cache.evictedTokens(r.PromptTokens, s.spec.CacheTokens)
 	price += prefillAtUnitSpeed(evicted, c.policy.EvictPrice)
 	// The caller waits for what the cell saves, so its deadline limits the price.
-	maxPrice := time.Duration(float64(r.Deadline.Sub(c.now)) * c.policy.PriceShare)
+	maxPrice := time.Duration(float64(r.Deadline.Sub(c.now)) * c.policy.MaxPriceShare)
 	return cost + min(price, max(0, maxPrice))
 }
 
@@ -176,9 +176,9 @@
 // agesAt returns when a request has waited long enough for a server that has
 // its prefix cached or, if none has, behind other requests.
 func (c *Cell) agesAt(it *item, isCached bool) Time {
-	share := c.policy.AgeShare
+	share := c.policy.UncachedAgeShare
 	if isCached {
-		share = c.policy.HeldAgeShare
+		share = c.policy.CachedAgeShare
 	}
 	return it.arrived.Add(time.Duration(float64(it.req.Deadline.Sub(it.arrived)) * share))
 }
@@ -268,7 +268,7 @@
 
 // candidate returns the request that s would take regardless of deadlines.
 func (c *Cell) candidate(s *server, q *tierQueue) *item {
-	if !c.policy.ServerPicks {
+	if !c.policy.PickCached {
 		return q.first()
 	}
 	cached := s.firstCached(q.rank)
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -11,20 +11,20 @@
 	// EvictPrice multiplies the compute time of the shared prefixes that a
 	// miss would evict from a server's cache.
 	EvictPrice float64
-	// PriceShare bounds both prices by a share of the time that a request has
+	// MaxPriceShare bounds both prices by a share of the time that a request has
 	// left. So long it may wait for a server that has its prefix cached before
 	// the prefix is computed again.
-	PriceShare float64
-	// ServerPicks lets a server with a free slot choose a waiting request whose
+	MaxPriceShare float64
+	// PickCached lets a server with a free slot choose a waiting request whose
 	// prefix it has cached. Without it, the first request of a tier takes any
 	// free slot.
-	ServerPicks bool
-	// AgeShare is the share of its deadline window that a request whose prefix
+	PickCached bool
+	// UncachedAgeShare is the share of its deadline window that a request whose prefix
 	// no server has cached waits behind others before it goes first.
-	// HeldAgeShare is the share that a request waits for the servers that have
+	// CachedAgeShare is the share that a request waits for the servers that have
 	// its prefix cached before any other server may take it.
-	AgeShare     float64
-	HeldAgeShare float64
+	UncachedAgeShare float64
+	CachedAgeShare   float64
 	// MissBudget limits the time that a busy server spends on aged requests
 	// whose prefix it does not have cached: after granting one, it takes no
 	// other for MissBudget times the predicted time of that prefill.
@@ -43,16 +43,16 @@
 // DefaultPolicy is the policy the daemon runs.
 func DefaultPolicy() Policy {
 	return Policy{
-		MissPrice:     48,
-		EvictPrice:    8,
-		PriceShare:    0.3,
-		ServerPicks:   true,
-		AgeShare:      0.3,
-		HeldAgeShare:  0.8,
-		MissBudget:    1.5,
-		Headroom:      1,
-		UrgentPrefill: 400 * time.Millisecond,
-		BulkPrefill:   10 * time.Millisecond,
+		MissPrice:        48,
+		EvictPrice:       8,
+		MaxPriceShare:    0.3,
+		PickCached:       true,
+		UncachedAgeShare: 0.3,
+		CachedAgeShare:   0.8,
+		MissBudget:       1.5,
+		Headroom:         1,
+		UrgentPrefill:    400 * time.Millisecond,
+		BulkPrefill:      10 * time.Millisecond,
 	}
 }
 
@@ -65,7 +65,7 @@
 	// MaxStampAge is the age of a holder's newest stamp from which the home
 	// grants nothing to it, because a grant would expire soon after arrival.
 	MaxStampAge = 1 * time.Second
-	// MoveHold is how long a holder that leaves a home without Left waits
+	// MoveHold is how long a holder that leaves a home without HolderLeft waits
 	// before it uses grants of another home. A holder whose end is proved
 	// within MoveHold of its last stamp can't have been granted anything
 	// elsewhere, so the home's ledger covers it.
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -277,7 +277,7 @@
 	h.toHome = h.toHome[1:]
 	home := h.home
 	m.step(home, ev)
-	if _, left := ev.(core.Left); left && !m.homes[1-home].dead {
+	if _, left := ev.(core.HolderLeft); left && !m.homes[1-home].dead {
 		h.openSession(1 - home)
 	}
 }
@@ -309,7 +309,7 @@
 
 func (m *model) heartbeat(t *rapid.T) {
 	h := drawFrom(t, "holder", m.liveHolders((*modelHolder).homeAlive))
-	h.toHome = append(h.toHome, core.Heard{Holder: h.inc, Stamp: h.stamp()})
+	h.toHome = append(h.toHome, core.Heartbeat{Holder: h.inc, Stamp: h.stamp()})
 	h.lastStamp = m.now
 }
 
@@ -317,7 +317,7 @@
 func (m *model) leave(t *rapid.T) {
 	h := drawFrom(t, "holder", m.liveHolders(func(h *modelHolder) bool { return h.homeAlive() && !m.homes[1-h.home].dead }))
 	h.fromHome = nil
-	h.toHome = append(h.toHome, core.Left{Holder: h.inc})
+	h.toHome = append(h.toHome, core.HolderLeft{Holder: h.inc})
 }
 
 func (m *model) holderDies(t *rapid.T) {
@@ -340,7 +340,7 @@
 	h := m.holders[rapid.IntRange(0, len(m.holders)-1).Draw(t, "holder")]
 	home := rapid.IntRange(0, 1).Draw(t, "home")
 	if !m.homes[home].dead {
-		m.step(home, core.Gone{Holder: h.inc, Proved: h.dead && rapid.Bool().Draw(t, "proved")})
+		m.step(home, core.HolderLost{Holder: h.inc, Proved: h.dead && rapid.Bool().Draw(t, "proved")})
 	}
 }
 
@@ -372,7 +372,7 @@
 			h := drawFrom(t, "holder", m.liveHolders((*modelHolder).homeAlive))
 			h.openSession(h.home)
 		},
-		"move": func(t *rapid.T) { // without Left, because of a network partition
+		"move": func(t *rapid.T) { // without HolderLeft, because of a network partition
 			h := drawFrom(t, "holder", m.liveHolders((*modelHolder).mayMove))
 			h.openSession(1 - h.home)
 		},
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -250,11 +250,11 @@
 	if p.Tokens > 0 {
 		s.stalled = 0
 	} else {
-		s.stalled += p.SeqTime
+		s.stalled += p.StreamTime
 	}
 	if p.Tokens >= minSampleTokens {
 		s.decodeLearnedAt = now
-		observed := p.SeqTime / time.Duration(p.Tokens)
+		observed := p.StreamTime / time.Duration(p.Tokens)
 		s.decodeScale = adjustScale(s.decodeScale, observed, s.tokenTime(s.load()))
 	}
 	return s.stalled > stallTimeout*time.Duration(max(1, len(s.runs)))
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -123,7 +123,7 @@
 	c.orphans = kept
 }
 
-func (c *Cell) heard(e Heard) {
+func (c *Cell) heard(e Heartbeat) {
 	s := c.sessions[e.Holder]
 	if s == nil || s.ended || e.Stamp < s.stamp {
 		return
@@ -150,7 +150,7 @@
 
 // left ends the session of a holder that moves to another home. The other home
 // grants to it from now on, so this ledger no longer covers it.
-func (c *Cell) left(e Left) {
+func (c *Cell) left(e HolderLeft) {
 	if s := c.sessions[e.Holder]; s != nil {
 		c.endSession(s, false)
 		// Even an end proved soon afterwards does not cover it, because another
@@ -166,7 +166,7 @@
 // is proved within MoveHold of the last stamp therefore means that the ledger
 // has everything ever granted to the holder. After any other end the holder is
 // not covered, and a resend of its requests is answered with Unproved.
-func (c *Cell) gone(e Gone) {
+func (c *Cell) gone(e HolderLost) {
 	s := c.sessions[e.Holder]
 	if s == nil {
 		s = &session{holder: e.Holder, heardAt: c.now}
@@ -231,7 +231,7 @@
 	}
 }
 
-func (c *Cell) inherit(e Inherit) {
+func (c *Cell) inherit(e LedgerHandover) {
 	for _, in := range e.Entries {
 		c.ledger.adopt(c.now, in)
 	}
@@ -244,8 +244,8 @@
 
 // Handover returns the state for the next home: the ledger and the ended holders
 // that it covers.
-func (c *Cell) Handover() Inherit {
-	h := Inherit{Entries: c.ledger.export()}
+func (c *Cell) Handover() LedgerHandover {
+	h := LedgerHandover{Entries: c.ledger.export()}
 	for inc, s := range c.sessions {
 		if s.ended && s.covered {
 			h.Covered = append(h.Covered, inc)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -59,7 +59,7 @@
 	OutputTokens int
 	Prefix       prefix.Key // 0: no shared prefix
 	PrefixTokens int
-	Whole        prefix.Key // key of the whole prompt, cached after prefill
+	PromptKey    prefix.Key // key of the whole prompt, cached after prefill
 	Deadline     Time
 
 	// Resend is set when another holder may have had the request before;
@@ -136,22 +136,22 @@
 		Stamp   Stamp
 		Entries []LedgerEntry
 	}
-	// Heard is a heartbeat of a holder on its session.
-	Heard struct {
+	// Heartbeat is a heartbeat of a holder on its session.
+	Heartbeat struct {
 		Holder ident.Incarnation
 		Stamp  Stamp
 	}
-	// Left says that a holder moves to another home in order.
-	Left struct{ Holder ident.Incarnation }
-	// Gone says that a holder's session broke or that membership lost it.
+	// HolderLeft says that a holder moves to another home in order.
+	HolderLeft struct{ Holder ident.Incarnation }
+	// HolderLost says that a holder's session broke or that membership lost it.
 	// Proved is set when its process is known to have ended: its port refuses
 	// connections, or a newer incarnation answers at its address.
-	Gone struct {
+	HolderLost struct {
 		Holder ident.Incarnation
 		Proved bool
 	}
-	// Inherit is the ledger of the previous home, handed over when it leaves.
-	Inherit struct {
+	// LedgerHandover is the ledger of the previous home, handed over when it leaves.
+	LedgerHandover struct {
 		Entries []LedgerEntry
 		Covered []ident.Incarnation
 	}
@@ -189,9 +189,9 @@
 	// Progress sums up what one holder received from a server since its last
 	// Progress.
 	Progress struct {
-		Server  ident.ServerID
-		Tokens  int
-		SeqTime time.Duration // streaming time, summed over sequences
+		Server     ident.ServerID
+		Tokens     int
+		StreamTime time.Duration // streaming time, summed over sequences
 	}
 	// LoadReport is a load report by the server itself, Age old on arrival.
 	LoadReport struct {
@@ -233,10 +233,10 @@
 func (Configure) isEvent()       {}
 func (Members) isEvent()         {}
 func (Report) isEvent()          {}
-func (Heard) isEvent()           {}
-func (Left) isEvent()            {}
-func (Gone) isEvent()            {}
-func (Inherit) isEvent()         {}
+func (Heartbeat) isEvent()       {}
+func (HolderLeft) isEvent()      {}
+func (HolderLost) isEvent()      {}
+func (LedgerHandover) isEvent()  {}
 func (Register) isEvent()        {}
 func (Withdraw) isEvent()        {}
 func (RevokeAnswer) isEvent()    {}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -160,8 +160,8 @@
 	d.claims = claim.New(d.platform, d.events)
 	var factory backend.Factory
 	factory, d.backends = backend.NewFactory()
-	d.homes = home.NewManager(ctx, home.Sources{Members: d.members, Config: d.config, Watch: d.backends, Table: d.platform}, core.DefaultPolicy(), d.events)
-	d.holder = holder.New(ctx, d.inc, holder.Sources{
+	d.homes = home.NewManager(ctx, home.Dependencies{Members: d.members, Config: d.config, ServerTransport: d.backends, Table: d.platform}, core.DefaultPolicy(), d.events)
+	d.holder = holder.New(ctx, d.inc, holder.Dependencies{
 		Members: d.members, Config: d.config, Backends: factory, Claims: d.claims, Events: d.events,
 	})
 	id := peer.Identity{Incarnation: d.inc, Host: d.set.Host, Fleet: d.set.Fleet}
--- a/internal/dispatch/charges.go
+++ b/internal/dispatch/charges.go
@@ -5,9 +5,9 @@
 // charge records the units of a placement that the local loop made, so that the home can
 // charge them to the account. sign is 1, or -1 to cancel a placement whose request did not
 // run. The caller holds mu.
-func (c *Client) charge(ask *PlacementRequest, sign int) {
-	if !c.fullQuotas && ask.Account != "" && ask.Units > 0 {
-		c.charges[ask.Account] += sign * ask.Units
+func (c *Client) charge(request *PlacementRequest, sign int) {
+	if !c.fullQuotas && request.Account != "" && request.Units > 0 {
+		c.charges[request.Account] += sign * request.Units
 	}
 }
 
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -15,7 +15,7 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Ask is a request for a placement at a backend server.
+// PlacementRequest is a request for a placement at a backend server.
 type PlacementRequest struct {
 	Request         string // the caller's request ID, for logs
 	Service         string
@@ -30,11 +30,11 @@
 	CallerTimeoutAt time.Time // caller timeout: when the caller gives up without a first event, zero: at the deadline
 	Deadline        time.Time
 	MaxPause        time.Duration // longest interval between events of a stream that is on time, 0: no limit
-	Repeat          bool
+	Retry           bool
 	Avoid           []string
 	Fingerprint     quarantine.Fingerprint
 	Route           string
-	Repeatable      bool // the run may be aborted and repeated or resumed on another server
+	Interruptible   bool // the run may be aborted and repeated or resumed on another server
 }
 
 // Place is a placement: the permission to send a request once to a backend server.
@@ -95,7 +95,7 @@
 
 // pending is a placement request that waits, or the run that followed its placement.
 type pending struct {
-	ask      *PlacementRequest
+	request  *PlacementRequest
 	via      *homeLink // where the request was sent, nil: the local loop
 	sentAt   time.Time
 	acked    bool
@@ -135,8 +135,8 @@
 
 // Acquire waits for a placement. It fails with *Refused, or with the error of ctx.
 // The caller must call Finish for each placement.
-func (c *Client) Acquire(ctx context.Context, ask *PlacementRequest) (Placement, error) {
-	p := &pending{ask: ask, done: make(chan sched.Decision, 1)}
+func (c *Client) Acquire(ctx context.Context, request *PlacementRequest) (Placement, error) {
+	p := &pending{request: request, done: make(chan sched.Decision, 1)}
 	c.mu.Lock()
 	c.lastID++
 	id := c.lastID
@@ -169,7 +169,7 @@
 func (c *Client) send(id uint64, p *pending) {
 	now := time.Now()
 	p.sentAt, p.acked, p.via = now, false, c.link
-	if p.via != nil && p.via.ask(encodeAsk(now, id, p.ask)) {
+	if p.via != nil && p.via.ask(encodeAsk(now, id, p.request)) {
 		return
 	}
 	c.sendLocal(id, p)
@@ -178,7 +178,7 @@
 // sendLocal submits a placement request to the local loop. The caller holds mu.
 func (c *Client) sendLocal(id uint64, p *pending) {
 	p.sentAt, p.acked, p.via = time.Now(), true, nil
-	m := encodeAsk(p.sentAt, id, p.ask)
+	m := encodeAsk(p.sentAt, id, p.request)
 	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
 		out, _ := s.Submit(at, decodeAsk(at, uint64(c.self), c.zone, m))
 		return out
@@ -233,7 +233,7 @@
 		return
 	}
 	if result.NotRun() {
-		c.charge(p.ask, -1)
+		c.charge(p.request, -1)
 	}
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.Finish(now, o) })
 }
@@ -322,7 +322,7 @@
 	}
 	p.placedAt, p.server, p.acked = now, d.Server, true
 	if via == nil {
-		c.charge(p.ask, 1)
+		c.charge(p.request, 1)
 	}
 	p.done <- d
 }
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -15,8 +15,8 @@
 		Id: id, Service: a.Service, Account: a.Account, Priority: uint32(a.Priority),
 		PromptTokens: uint32(a.PromptTokens), OutputTokens: uint32(a.OutputTokens), Units: uint32(a.Units),
 		DeadlineMs: millis(a.Deadline.Sub(now)), AimMs: millis(a.LatencyTarget.Sub(now)), WaitedMs: millis(now.Sub(a.Arrived)),
-		PauseMs: millis(a.MaxPause), Repeat: a.Repeat, Avoid: a.Avoid, Fingerprint: a.Fingerprint.Bytes(),
-		Route: a.Route, Repeatable: a.Repeatable,
+		PauseMs: millis(a.MaxPause), Repeat: a.Retry, Avoid: a.Avoid, Fingerprint: a.Fingerprint.Bytes(),
+		Route: a.Route, Repeatable: a.Interruptible,
 	}
 	if !a.CallerTimeoutAt.IsZero() {
 		m.LeavesMs = max(1, millis(a.CallerTimeoutAt.Sub(now)))
@@ -66,9 +66,9 @@
 
 func encodeRunning(now time.Time, id uint64, p *pending) *wire.Running {
 	return &wire.Running{
-		Id: id, Service: p.ask.Service, Server: p.server, PromptTokens: uint32(p.ask.PromptTokens),
-		OutputTokens: uint32(p.ask.OutputTokens), ElapsedMs: millis(now.Sub(p.placedAt)), PauseMs: millis(p.ask.MaxPause),
-		Account: p.ask.Account, Fingerprint: p.ask.Fingerprint.Bytes(), Repeatable: p.ask.Repeatable,
+		Id: id, Service: p.request.Service, Server: p.server, PromptTokens: uint32(p.request.PromptTokens),
+		OutputTokens: uint32(p.request.OutputTokens), ElapsedMs: millis(now.Sub(p.placedAt)), PauseMs: millis(p.request.MaxPause),
+		Account: p.request.Account, Fingerprint: p.request.Fingerprint.Bytes(), Repeatable: p.request.Interruptible,
 	}
 }
 
--- a/internal/dispatch/moving.go
+++ b/internal/dispatch/moving.go
@@ -110,7 +110,7 @@
 
 // ackTimeout returns how long the home may take to answer the placement request.
 func (p *pending) ackTimeout() time.Duration {
-	untilTarget := p.ask.LatencyTarget.Sub(p.ask.Arrived)
+	untilTarget := p.request.LatencyTarget.Sub(p.request.Arrived)
 	return min(maxAckTimeout, max(minAckTimeout, time.Duration(float64(untilTarget)*ackFraction)))
 }
 
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -122,7 +122,7 @@
 // learnLoss records a run that was lost with its server in this host's own table as well. The
 // caller holds mu.
 func (c *Client) learnLoss(p *pending, shown bool) {
-	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, EventSeen: shown}
+	loss := quarantine.Loss{Fingerprint: p.request.Fingerprint, Account: p.request.Account, Service: p.request.Service, Server: p.server, EventSeen: shown}
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.RecordLoss(now, loss)
 		return nil
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -76,7 +76,7 @@
 	// A host loses a run together with its server, and its home at the same time.
 	It("is kept by the host whose run was lost", func() {
 		c, loop := startHost(neverLeaving, "a")
-		p := &pending{ask: &PlacementRequest{Service: "svc", Fingerprint: fatalFingerprint}, server: "a", placedAt: time.Now(), via: nil}
+		p := &pending{request: &PlacementRequest{Service: "svc", Fingerprint: fatalFingerprint}, server: "a", placedAt: time.Now(), via: nil}
 		c.mu.Lock()
 		c.learnLoss(p, false)
 		c.mu.Unlock()
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -100,7 +100,7 @@
 		x.abort("an unbuffered answer was cut off: " + err.Error())
 	}
 	t.release(resp)
-	x.h.Places.Finish(t.placement.ID, sched.OK, time.Since(t.sent), 0)
+	x.h.Placer.Finish(t.placement.ID, sched.OK, time.Since(t.sent), 0)
 	x.recordEvent(event.RequestAnswered, strconv.Itoa(a.status))
 	return done
 }
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -21,7 +21,7 @@
 	OutputTokens int // maximum
 	OutputHint   int // the caller's estimate, 0 if not given
 	HasTokens    bool
-	Parts        []sched.Part // of the prompt, in order
+	PromptParts  []sched.Part // of the prompt, in order
 }
 
 // ServerHead is the information that the header of a request to a backend server has
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -21,7 +21,7 @@
 
 // Placer provides placements: permissions to send a request once to a server.
 type Placer interface {
-	Acquire(ctx context.Context, ask *dispatch.PlacementRequest) (dispatch.Placement, error)
+	Acquire(ctx context.Context, request *dispatch.PlacementRequest) (dispatch.Placement, error)
 	Finish(id uint64, result sched.Result, timeToFirst, tokenTime time.Duration)
 	RecordServerFault(server string)
 	OnRevoke(id uint64, f func(*dispatch.Refused))
@@ -54,7 +54,7 @@
 // Dependencies are the dependencies of a Handler.
 type Dependencies struct {
 	Routes  *routing.Current
-	Places  Placer
+	Placer  Placer
 	Pool    *upstream.Pool
 	Dialect Dialect
 	Events  *event.Recorder
@@ -70,7 +70,7 @@
 }
 
 // NewHandler returns a handler for callers.
-func NewHandler(src Dependencies) *Handler { return &Handler{Dependencies: src} }
+func NewHandler(deps Dependencies) *Handler { return &Handler{Dependencies: deps} }
 
 // Leave makes answers close their connections, so that callers look up another host.
 func (h *Handler) Leave() { h.leaving.Store(true) }
@@ -133,7 +133,7 @@
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeGrace))
 	for {
 		requested := time.Now()
-		placement, err := x.h.Places.Acquire(ctx, x.placementRequest())
+		placement, err := x.h.Placer.Acquire(ctx, x.placementRequest())
 		x.waited += time.Since(requested)
 		if err != nil {
 			x.giveUp(ctx, err)
@@ -231,10 +231,10 @@
 func (x *exchange) placementRequest() *dispatch.PlacementRequest {
 	a := &dispatch.PlacementRequest{
 		Request: x.head.ID, Service: x.service, Priority: priority(x.route, x.account),
-		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), PromptParts: x.head.Parts,
+		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), PromptParts: x.head.PromptParts,
 		Arrived: x.arrived, LatencyTarget: x.arrived.Add(x.route.LatencyTarget), Deadline: x.deadline,
-		MaxPause: x.route.EventGapTarget, Repeat: x.isRetry, Avoid: x.tried, Fingerprint: x.fingerprint,
-		Route: x.route.Name, Repeatable: x.route.Repeatable(),
+		MaxPause: x.route.EventGapTarget, Retry: x.isRetry, Avoid: x.tried, Fingerprint: x.fingerprint,
+		Route: x.route.Name, Interruptible: x.route.Repeatable(),
 	}
 	if x.account != nil {
 		a.Account = x.account.Name
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -9,7 +9,7 @@
 
 // recordNotice records the notice in a server's answer and the events of its changes.
 func (x *exchange) recordNotice(server string, n notice.Notice) {
-	change, changed := x.h.Places.RecordNotice(server, n)
+	change, changed := x.h.Placer.RecordNotice(server, n)
 	if !changed {
 		return
 	}
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -59,7 +59,7 @@
 			}
 		}
 		if !retryable {
-			t.x.h.Places.Finish(t.placement.ID, sched.Stalled, 0, 0)
+			t.x.h.Placer.Finish(t.placement.ID, sched.Stalled, 0, 0)
 			return
 		}
 		if t.phase.CompareAndSwap(inProgress, stalled) {
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -67,7 +67,7 @@
 				}
 				if now.After(nextReport) {
 					nextReport = now.Add(now.Sub(firstAt))
-					x.h.Places.Finish(t.placement.ID, sched.Progress, t.timeToFirst, tokenTime(now.Sub(firstAt), x.stream.events-earlierEvents, tokensPerEvent))
+					x.h.Placer.Finish(t.placement.ID, sched.Progress, t.timeToFirst, tokenTime(now.Sub(firstAt), x.stream.events-earlierEvents, tokensPerEvent))
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 		if !firstAt.IsZero() {
 			perToken = tokenTime(time.Since(firstAt), x.stream.events-earlierEvents, tokensPerEvent)
 		}
-		x.h.Places.Finish(t.placement.ID, sched.OK, t.timeToFirst, perToken)
+		x.h.Placer.Finish(t.placement.ID, sched.OK, t.timeToFirst, perToken)
 		return x.endStream(resp, buf)
 	}
 }
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -77,7 +77,7 @@
 func (x *exchange) try(ctx context.Context, placement dispatch.Placement) nextStep {
 	t := &attempt{x: x, placement: placement}
 	if callerDisconnected(x.r.Context()) {
-		x.h.Places.Finish(placement.ID, sched.Unused, 0, 0)
+		x.h.Placer.Finish(placement.ID, sched.Unused, 0, 0)
 		x.recordEvent(event.RequestLeft, "before the request was sent")
 		return done
 	}
@@ -88,7 +88,7 @@
 		return t.handleUnreachable(ctx, err)
 	}
 	t.conn = conn
-	if state := x.h.Places.ServerNotice(placement.Server); state.Leaving || state.Backoff(time.Now()) > 0 {
+	if state := x.h.Placer.ServerNotice(placement.Server); state.Leaving || state.Backoff(time.Now()) > 0 {
 		return t.returnPlacement(state)
 	}
 	// A server continues a request until its connection closes, so the connection is
@@ -109,7 +109,7 @@
 	if state.Leaving {
 		result = sched.Replaced
 	}
-	x.h.Places.Finish(t.placement.ID, result, 0, 0)
+	x.h.Placer.Finish(t.placement.ID, result, 0, 0)
 	x.tried = append(x.tried, t.placement.Server)
 	x.serverNotice = noticeFields(time.Now(), state)
 	x.recordEvent(event.SendHeldBack, "nothing was sent")
@@ -138,9 +138,9 @@
 func (t *attempt) handleUnreachable(ctx context.Context, err error) nextStep {
 	x := t.x
 	if ctx.Err() != nil {
-		x.h.Places.Finish(t.placement.ID, sched.Unused, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.Unused, 0, 0)
 	} else {
-		x.h.Places.Finish(t.placement.ID, sched.Unreachable, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.Unreachable, 0, 0)
 	}
 	x.tried = append(x.tried, t.placement.Server)
 	x.recordEvent(event.ServerUnreachable, err.Error())
@@ -150,7 +150,7 @@
 func (t *attempt) run(ctx context.Context) nextStep {
 	x := t.x
 	t.sent = time.Now()
-	x.serverNotice = noticeFields(t.sent, x.h.Places.ServerNotice(t.placement.Server))
+	x.serverNotice = noticeFields(t.sent, x.h.Placer.ServerNotice(t.placement.Server))
 	sent, err := t.conn.Send(x.request(t.placement, t.sent), x.deadline)
 	if !sent && err != nil && !t.conn.Reused() {
 		t.conn.Close()
@@ -162,7 +162,7 @@
 	if err != nil {
 		return t.handleLost(ctx, err)
 	}
-	x.h.Places.OnRevoke(t.placement.ID, t.revoke)
+	x.h.Placer.OnRevoke(t.placement.ID, t.revoke)
 	t.watchStall()
 	defer t.stopStallWatch()
 	t.setReadTimeout(ctx, t.readTimeout())
@@ -227,9 +227,9 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return t.handleServerError(a)
 	}
-	x.h.Places.Finish(t.placement.ID, sched.OK, t.timeToFirst, 0)
+	x.h.Placer.Finish(t.placement.ID, sched.OK, t.timeToFirst, 0)
 	if x.errorServer != "" {
-		x.h.Places.RecordServerFault(x.errorServer)
+		x.h.Placer.RecordServerFault(x.errorServer)
 	}
 	x.forwardAnswer(a)
 	return done
@@ -254,7 +254,7 @@
 	} else {
 		t.conn.Close()
 	}
-	x.h.Places.Finish(t.placement.ID, result, 0, 0)
+	x.h.Placer.Finish(t.placement.ID, result, 0, 0)
 	x.tried = append(x.tried, t.placement.Server)
 	x.recordEvent(event.ServerRejected, "status "+strconv.Itoa(resp.StatusCode)+" rest="+milliseconds(backoff))
 	if x.sends >= maxSends {
@@ -274,7 +274,7 @@
 	if x.route.Kind == routing.Safe {
 		result = sched.UnattributedError
 	}
-	x.h.Places.Finish(t.placement.ID, result, t.timeToFirst, 0)
+	x.h.Placer.Finish(t.placement.ID, result, t.timeToFirst, 0)
 	x.tried = append(x.tried, t.placement.Server)
 	x.recordEvent(event.ServerErrored, "status "+strconv.Itoa(a.status))
 	if x.mayRetry() && !x.stream.started {
@@ -296,7 +296,7 @@
 		x.h.Pool.CloseIdle(t.server())
 	}
 	if x.r.Context().Err() != nil {
-		x.h.Places.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
 		x.recordEvent(event.RequestLeft, "while the request ran")
 		return done
 	}
@@ -305,20 +305,20 @@
 		if x.stream.events == 0 {
 			result = sched.Broken // nothing arrived before the deadline
 		}
-		x.h.Places.Finish(t.placement.ID, result, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, result, 0, 0)
 		x.tried = append(x.tried, t.placement.Server)
 		x.giveUp(ctx, context.DeadlineExceeded)
 		return done
 	}
 	if t.phase.Load() == revoked {
-		x.h.Places.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.CallerLeft, 0, 0)
 		x.giveUp(ctx, t.revocation)
 		return done
 	}
 	x.tried = append(x.tried, t.placement.Server)
 	x.recordEvent(event.ServerLost, err.Error()+" events="+strconv.Itoa(x.stream.events))
 	if t.phase.Load() == stalled {
-		x.h.Places.Finish(t.placement.ID, sched.Unresponsive, 0, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.Unresponsive, 0, 0)
 	} else {
 		go t.reportBroken()
 	}
@@ -346,10 +346,10 @@
 func (t *attempt) reportBroken() {
 	x, ran, timeToFirst := t.x, time.Since(t.sent), t.timeToFirst
 	if !upstream.RefusesConnections(t.placement.Address, stallDialTimeout) {
-		x.h.Places.Finish(t.placement.ID, sched.Broken, timeToFirst, 0)
+		x.h.Placer.Finish(t.placement.ID, sched.Broken, timeToFirst, 0)
 		return
 	}
-	x.h.Places.Finish(t.placement.ID, sched.ServerEnded, timeToFirst, 0)
+	x.h.Placer.Finish(t.placement.ID, sched.ServerEnded, timeToFirst, 0)
 	x.h.Meter.ServerEnded()
 	x.h.Events.Record(event.ServerEnded, event.Fields{
 		Request: x.head.ID, Service: x.service, Server: t.placement.Server,
--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -17,7 +17,7 @@
 // timeSigma is the standard deviation of the logarithm of one server's response times.
 const timeSigma = 0.3
 
-// BestMisses estimates the smallest possible fraction of bad versions that a statistical test
+// MinMissRate estimates the smallest possible fraction of bad versions that a statistical test
 // fails to detect if it rolls back one in 300 sound versions and one in a hundred answers of a
 // sound version fails. It is a lower bound for every test with that rate of false alarms. The
 // optimal test is the likelihood ratio against a sound version. It knows the defect, each
@@ -25,7 +25,7 @@
 // bounds allow until the deadline. The estimate takes plays simulations of each version. ok is
 // false for sound versions and for versions that are bad only under load, because the load of a
 // server depends on the test's own decisions.
-func BestMisses(r *Rollout, plays int) (missed float64, ok bool) {
+func MinMissRate(r *Rollout, plays int) (missed float64, ok bool) {
 	if !r.Version.bad() || r.Version.OnlyLoaded {
 		return 0, false
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -29,25 +29,25 @@
 	o.answeredSizes = append(o.answeredSizes, other.answeredSizes...)
 }
 
-// Figure is a mean over seeds with half the width of its 95% confidence interval.
-type Figure struct{ Mean, Within float64 }
+// Estimate is a mean over seeds with half the width of its 95% confidence interval.
+type Estimate struct{ Mean, HalfWidth float64 }
 
 // Row holds the results of one kind under a policy.
 type Row struct {
 	Kind                 string
-	InTime, Served, Late Figure
-	LargestServed        Figure // among the largest tenth of the requests
+	InTime, Served, Late Estimate
+	LargestTenthServed   Estimate // among the largest tenth of the requests
 }
 
-// Rows simulates a load with the seeds from 0 to seeds-1 and returns a row for each kind.
-func Rows(l *Load, p sched.Policy, seeds int) []Row {
+// SimulateRows simulates a load with the seeds from 0 to seeds-1 and returns a row for each kind.
+func SimulateRows(l *Load, p sched.Policy, seeds int) []Row {
 	runs := make([][]Outcome, seeds)
 	for seed := range runs {
 		runs[seed] = Simulate(l, p, uint64(seed))
 	}
 	rows := make([]Row, len(l.Kinds))
 	for k := range rows {
-		estimate := func(f func(Outcome) float64) Figure {
+		estimate := func(f func(Outcome) float64) Estimate {
 			values := make([]float64, seeds)
 			for i := range values {
 				values[i] = f(runs[i][k])
@@ -56,8 +56,8 @@
 		}
 		rows[k] = Row{
 			Kind: l.Kinds[k].Name, InTime: estimate(Outcome.InTime), Served: estimate(Outcome.Served),
-			LargestServed: estimate(Outcome.LargestServed),
-			Late:          estimate(func(o Outcome) float64 { return share(o.Late, o.Asked) }),
+			LargestTenthServed: estimate(Outcome.LargestServed),
+			Late:               estimate(func(o Outcome) float64 { return share(o.Late, o.Asked) }),
 		}
 	}
 	return rows
@@ -66,7 +66,7 @@
 // z95 is half the width of a 95% confidence interval in standard errors.
 const z95 = 1.96
 
-func meanWithInterval(values []float64) Figure {
+func meanWithInterval(values []float64) Estimate {
 	n := float64(len(values))
 	sum, squares := 0.0, 0.0
 	for _, v := range values {
@@ -77,7 +77,7 @@
 		squares += (v - mean) * (v - mean)
 	}
 	if n < 2 {
-		return Figure{Mean: mean}
+		return Estimate{Mean: mean}
 	}
-	return Figure{Mean: mean, Within: z95 * math.Sqrt(squares/(n-1)/n)}
+	return Estimate{Mean: mean, HalfWidth: z95 * math.Sqrt(squares/(n-1)/n)}
 }
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -438,18 +438,18 @@
 	return out
 }
 
-// RolloutSum is what came of many plays of one roll-out.
-type RolloutSum struct {
+// RolloutSummary summarizes many simulations of one roll-out.
+type RolloutSummary struct {
 	Runs                           int
 	Completed, RolledBack, Running int
-	Exposure, MostExposure         float64 // the middle and the most, as parts of what is allowed
-	Ended                          time.Duration
-	Bad                            int // most bad answers before a verdict
+	MedianExposure, MaxExposure    float64 // as fractions of the allowed exposure
+	MedianDuration                 time.Duration
+	MaxBadAnswers                  int // bad answers before a verdict
 	Late, Lost                     int
 }
 
-// SumRollouts plays a roll-out with many seeds, on all processors.
-func SumRollouts(r *Rollout, seeds int) RolloutSum {
+// SimulateRollouts simulates a roll-out with many seeds, on all processors.
+func SimulateRollouts(r *Rollout, seeds int) RolloutSummary {
 	results := make([]RolloutResult, seeds)
 	var running sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -461,26 +461,26 @@
 		})
 	}
 	running.Wait()
-	sum := RolloutSum{Runs: seeds}
+	summary := RolloutSummary{Runs: seeds}
 	var exposures []float64
 	var times []time.Duration
 	for _, one := range results {
 		switch one.State {
 		case rollout.Completed:
-			sum.Completed++
+			summary.Completed++
 		case rollout.RolledBack:
-			sum.RolledBack++
+			summary.RolledBack++
 		default:
-			sum.Running++
+			summary.Running++
 		}
 		exposures = append(exposures, one.Exposure(r.Bounds))
 		times = append(times, one.Took)
-		sum.Bad = max(sum.Bad, one.Bad)
-		sum.Late += one.Late
-		sum.Lost += one.Lost
+		summary.MaxBadAnswers = max(summary.MaxBadAnswers, one.Bad)
+		summary.Late += one.Late
+		summary.Lost += one.Lost
 	}
 	slices.Sort(exposures)
 	slices.Sort(times)
-	sum.Exposure, sum.MostExposure, sum.Ended = exposures[seeds/2], exposures[seeds-1], times[seeds/2]
-	return sum
+	summary.MedianExposure, summary.MaxExposure, summary.MedianDuration = exposures[seeds/2], exposures[seeds-1], times[seeds/2]
+	return summary
 }
--- a/internal/experiment/rollout_test.go
+++ b/internal/experiment/rollout_test.go
@@ -25,26 +25,26 @@
 	It("keep within the bounds of a bad version", func() {
 		for _, r := range Rollouts() {
 			if strings.HasSuffix(r.Name, "-few") && r.Version.bad() {
-				Expect(SumRollouts(r, 4).MostExposure).To(BeNumerically("<=", 1), r.Name)
+				Expect(SimulateRollouts(r, 4).MaxExposure).To(BeNumerically("<=", 1), r.Name)
 			}
 		}
 	})
 
 	It("roll back versions that fail at least a fifth of their answers or are three times slower", func() {
 		for _, name := range []string{"fails-20-many", "fails-50-many", "fails-50-one-route-many", "slower-3-many", "slower-5-many", "fails-50-few", "slower-5-few"} {
-			sum := SumRollouts(rolloutNamed(name), 4)
-			Expect(sum.RolledBack).To(Equal(sum.Runs), name)
-			Expect(sum.Late).To(BeZero(), name)
+			summary := SimulateRollouts(rolloutNamed(name), 4)
+			Expect(summary.RolledBack).To(Equal(summary.Runs), name)
+			Expect(summary.Late).To(BeZero(), name)
 		}
 	})
 
 	It("complete sound versions in time and lose no request when the old servers stop", func() {
 		for _, name := range []string{"sound-few", "sound-many", "sound-own-failures-many", "sound-crashes-many", "sound-burst-few"} {
 			r := rolloutNamed(name)
-			sum := SumRollouts(r, 4)
-			Expect(sum.Completed).To(Equal(sum.Runs), name)
-			Expect(sum.Ended).To(BeNumerically("<=", r.Length), name)
-			Expect(sum.Lost).To(BeZero(), name)
+			summary := SimulateRollouts(r, 4)
+			Expect(summary.Completed).To(Equal(summary.Runs), name)
+			Expect(summary.MedianDuration).To(BeNumerically("<=", r.Length), name)
+			Expect(summary.Lost).To(BeZero(), name)
 		}
 	})
 })
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -92,32 +92,32 @@
 
 // Find collects the lines about a request. It fails with UnknownRequest when no line names it.
 func Find(lines []Line, request string) (RequestHistory, error) {
-	var story RequestHistory
+	var history RequestHistory
 	hosts, servers := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.Request == request {
-			story.Request = append(story.Request, line)
+			history.Request = append(history.Request, line)
 			hosts[line.Host] = true
 			if line.Server != "" {
 				servers[line.Server] = true
 			}
 		}
 	}
-	if len(story.Request) == 0 {
-		return story, failure.New(failure.UnknownRequest, "no line names request %s; the log collector may have deleted its lines, or the host left them out (see lines_dropped)", request)
+	if len(history.Request) == 0 {
+		return history, failure.New(failure.UnknownRequest, "no line names request %s; the log collector may have deleted its lines, or the host left them out (see lines_dropped)", request)
 	}
-	sortByTime(story.Request)
-	from, to := story.Request[0].At.Add(-contextWindow), story.Request[len(story.Request)-1].At.Add(contextWindow)
+	sortByTime(history.Request)
+	from, to := history.Request[0].At.Add(-contextWindow), history.Request[len(history.Request)-1].At.Add(contextWindow)
 	for _, line := range lines {
 		near := line.At.After(from) && line.At.Before(to)
 		related := hosts[line.Host] && (line.Server == "" || servers[line.Server])
 		if line.Request == "" && near && related {
-			story.Host = append(story.Host, line)
+			history.Host = append(history.Host, line)
 		}
 	}
-	sortByTime(story.Host)
-	story.Ends = endsWithFingerprint(lines, textField(story.Request[len(story.Request)-1].Detail, "fingerprint"))
-	return story, nil
+	sortByTime(history.Host)
+	history.Ends = endsWithFingerprint(lines, textField(history.Request[len(history.Request)-1].Detail, "fingerprint"))
+	return history, nil
 }
 
 // Names of the events about requests under which servers ended.
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -299,18 +299,18 @@
 
 // Prefill sums up the prompt tokens that servers computed.
 type Prefill struct {
-	Prompt   int // all prompt tokens
-	Computed int // tokens not found in a cache
-	Repeated int // tokens computed although another server of the service had them cached
-	Unread   int // tokens computed for answers that no caller received
+	Prompt      int // all prompt tokens
+	Computed    int // tokens not found in a cache
+	Repeated    int // tokens computed although another server of the service had them cached
+	Undelivered int // tokens computed for answers that no caller received
 }
 
-// Wasted returns the share of the computed prompt tokens that were repeated or unread.
+// Wasted returns the share of the computed prompt tokens that were repeated or undelivered.
 func (p Prefill) Wasted() float64 {
 	if p.Computed == 0 {
 		return 0
 	}
-	return float64(p.Repeated+p.Unread) / float64(p.Computed)
+	return float64(p.Repeated+p.Undelivered) / float64(p.Computed)
 }
 
 // SumPrefill sums up the prefill of a history.
@@ -330,7 +330,7 @@
 		p.Computed += e.Computed
 		p.Repeated += e.Repeated
 		if !answered[e.ID] {
-			p.Unread += e.Computed - e.Repeated
+			p.Undelivered += e.Computed - e.Repeated
 		}
 	}
 	return p
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -82,20 +82,20 @@
 var _ = Describe("linearizability", func() {
 	It("accepts a register changed by compare-and-set", func() {
 		Expect(history.RegisterLinearizable([]history.RegisterOp{
-			{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
-			{Client: 1, Call: 5, Return: 15, Base: 0, Accepted: false},
-			{Client: 1, Call: 20, Return: 30, Base: 1, Accepted: true},
-			{Client: 2, Call: 31, Return: 32, Read: true, Saw: 2},
+			{Client: 0, Call: 0, Return: 10, BaseVersion: 0, Accepted: true},
+			{Client: 1, Call: 5, Return: 15, BaseVersion: 0, Accepted: false},
+			{Client: 1, Call: 20, Return: 30, BaseVersion: 1, Accepted: true},
+			{Client: 2, Call: 31, Return: 32, Read: true, ReadVersion: 2},
 		})).To(BeTrue())
 	})
 	DescribeTable("refuses",
 		func(ops ...history.RegisterOp) { Expect(history.RegisterLinearizable(ops)).To(BeFalse()) },
 		Entry("two accepted changes based on one version",
-			history.RegisterOp{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
-			history.RegisterOp{Client: 1, Call: 5, Return: 15, Base: 0, Accepted: true}),
+			history.RegisterOp{Client: 0, Call: 0, Return: 10, BaseVersion: 0, Accepted: true},
+			history.RegisterOp{Client: 1, Call: 5, Return: 15, BaseVersion: 0, Accepted: true}),
 		Entry("read of an older version",
-			history.RegisterOp{Client: 0, Call: 0, Return: 10, Base: 0, Accepted: true},
-			history.RegisterOp{Client: 2, Call: 20, Return: 30, Read: true, Saw: 0}),
+			history.RegisterOp{Client: 0, Call: 0, Return: 10, BaseVersion: 0, Accepted: true},
+			history.RegisterOp{Client: 2, Call: 20, Return: 30, Read: true, ReadVersion: 0}),
 	)
 	It("accepts one winner of a claim and rejects two", func() {
 		winner := history.ClaimOp{Client: 0, Call: 0, Return: 10, Key: "k", Token: "a", Won: true}
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -9,14 +9,14 @@
 // and end on one clock. For a change with unknown outcome, Return is after the
 // end of the history.
 type RegisterOp struct {
-	Client   int
-	Call     int64
-	Return   int64
-	Read     bool
-	Saw      uint64 // version returned by a read
-	Base     uint64 // version that a change is based on
-	Accepted bool
-	Unknown  bool // the client does not know whether its change was accepted
+	Client      int
+	Call        int64
+	Return      int64
+	Read        bool
+	ReadVersion uint64 // version returned by a read
+	BaseVersion uint64 // version that a change is based on
+	Accepted    bool
+	Unknown     bool // the client does not know whether its change was accepted
 }
 
 // RegisterLinearizable reports whether calls to the configuration register are
@@ -44,9 +44,9 @@
 		Init: func() []any { return []any{uint64(0)} },
 		Step: func(state, input, _ any) []any {
 			version, op := state.(uint64), input.(RegisterOp)
-			baseIsCurrent := op.Base == version
+			baseIsCurrent := op.BaseVersion == version
 			switch {
-			case op.Read && op.Saw == version:
+			case op.Read && op.ReadVersion == version:
 				return []any{version}
 			case op.Read:
 				return nil
--- a/internal/holder/answer.go
+++ b/internal/holder/answer.go
@@ -122,9 +122,9 @@
 	return a.status, a.contentType
 }
 
-// Whole returns the length and xxh64 checksum of the bytes received so far.
+// LengthAndChecksum returns the length and xxh64 checksum of the bytes received so far.
 // They are those of the whole answer once it has ended without an error.
-func (a *Answer) Whole() (length int, sum uint64) {
+func (a *Answer) LengthAndChecksum() (length int, sum uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.data), xxhash.Sum64(a.data)
--- a/internal/holder/dispatch.go
+++ b/internal/holder/dispatch.go
@@ -72,7 +72,7 @@
 	defer cancel()
 	r.setCancel(cancel)
 	r.record(event.RequestDispatched, "")
-	srv := r.h.src.Backends(b.Address, r.Sub.Plain)
+	srv := r.h.deps.Backends(b.Address, r.Sub.Plain)
 	l.meter.addActive(server, 1)
 	// This process may be paused while it connects and continue after the grant has expired.
 	valid := func() bool { return r.h.stamp() <= until }
@@ -149,11 +149,11 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(until-r.h.stamp()))
 	defer cancel()
 	mine := claim.Claimant{Incarnation: r.h.self, Token: r.claimToken, Server: server, Expires: time.Now().Add(r.h.claimHorizon())}
-	res := r.h.src.Claims.Claim(ctx, r.Sub.ID, mine, 0)
+	res := r.h.deps.Claims.Claim(ctx, r.Sub.ID, mine, 0)
 	if res.Err == nil && !res.Won && r.h.unused.has(res.Owner.Token) {
 		// The row belongs to an earlier attempt at this host that never ran
 		// and whose release is still pending.
-		res = r.h.src.Claims.Claim(ctx, r.Sub.ID, mine, res.Version)
+		res = r.h.deps.Claims.Claim(ctx, r.Sub.ID, mine, res.Version)
 	}
 	switch {
 	case res.Err != nil:
@@ -181,7 +181,7 @@
 }
 
 func (h *Holder) claimHorizon() time.Duration {
-	if c := h.src.Config.Current(); c != nil {
+	if c := h.deps.Config.Current(); c != nil {
 		return c.Document.Rules.Limits.ClaimHorizon.Std()
 	}
 	return 0
@@ -278,7 +278,7 @@
 	r.h.background(func(ctx context.Context) {
 		ctx, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
-		_ = r.h.src.Backends(b.Address, r.Sub.Plain).Cancel(ctx, r.Sub.ID) // best effort: it only saves the server work
+		_ = r.h.deps.Backends(b.Address, r.Sub.Plain).Cancel(ctx, r.Sub.ID) // best effort: it only saves the server work
 	})
 }
 
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -32,8 +32,8 @@
 	"github.com/gentianflow/gentianflow/internal/peer"
 )
 
-// Sources are the components that a Holder depends on.
-type Sources struct {
+// Dependencies are the components that a Holder depends on.
+type Dependencies struct {
 	Members  *member.Table
 	Config   *configsync.Syncer
 	Peers    *peer.Manager
@@ -52,7 +52,7 @@
 
 // Holder owns the records of one host. mu guards records, links and heldBytes.
 type Holder struct {
-	src   Sources
+	deps  Dependencies
 	self  ident.Incarnation
 	start time.Time
 	ctx   context.Context
@@ -68,16 +68,16 @@
 }
 
 // New returns a holder whose background tasks end with ctx.
-func New(ctx context.Context, self ident.Incarnation, src Sources) *Holder {
+func New(ctx context.Context, self ident.Incarnation, deps Dependencies) *Holder {
 	return &Holder{
-		src: src, self: self, start: time.Now(), ctx: ctx,
+		deps: deps, self: self, start: time.Now(), ctx: ctx,
 		records: map[ident.RequestID]*Record{}, links: map[string]*link{},
 	}
 }
 
 // SetPeers sets the manager of the sessions with other hosts. It is created
 // after the holder, because the holder serves streams of those sessions.
-func (h *Holder) SetPeers(p *peer.Manager) { h.src.Peers = p }
+func (h *Holder) SetPeers(p *peer.Manager) { h.deps.Peers = p }
 
 // Run sweeps the records periodically until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
@@ -277,7 +277,7 @@
 
 // sweep removes records past the horizon and ends requests without readers.
 func (h *Holder) sweep(now time.Time) {
-	inForce := h.src.Config.Current()
+	inForce := h.deps.Config.Current()
 	if inForce == nil {
 		return
 	}
@@ -355,7 +355,7 @@
 
 // backendOf finds a server of a service in the configuration in force.
 func (h *Holder) backendOf(service string, id ident.ServerID) (*config.BackendServer, bool) {
-	inForce := h.src.Config.Current()
+	inForce := h.deps.Config.Current()
 	if inForce == nil {
 		return nil, false
 	}
--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -76,7 +76,7 @@
 	}
 
 	It("counts an answer while it is kept, and nothing after it is removed", func() {
-		h := New(context.Background(), 1, Sources{})
+		h := New(context.Background(), 1, Dependencies{})
 		r := held(h, sub(2, 0), 1)
 		r.answer.addPart(0, []byte("abc"), []byte("abc"))
 		h.addBytes(3)
@@ -90,7 +90,7 @@
 	// subtracted its size, the count would be too low and the host would hold
 	// more than its limit.
 	It("does not subtract what was never counted", func() {
-		h := New(context.Background(), 1, Sources{})
+		h := New(context.Background(), 1, Dependencies{})
 		r := held(h, sub(2, 0), 1)
 		r.answer.addPart(0, []byte("half"), []byte("half"))
 		h.remove(r)
@@ -101,7 +101,7 @@
 	// too, its report to a new home would not list the id, and a caller that lost
 	// its connection and resends the id would have it run a second time.
 	It("drops an answer to free memory, but keeps the record that it ran", func() {
-		h := New(context.Background(), 1, Sources{})
+		h := New(context.Background(), 1, Dependencies{})
 		r := held(h, sub(2, 0), 1)
 		for _, e := range []chart.Event{evRegister, evGrant, evDispatch, evFirstByte, evFinish} {
 			Expect(r.fire(e)).To(BeTrue())
@@ -123,7 +123,7 @@
 	})
 
 	It("refuses a request when nothing of a lower tier can be evicted", func() {
-		h := New(context.Background(), 1, Sources{})
+		h := New(context.Background(), 1, Dependencies{})
 		held(h, sub(2, 80), 1)
 		s := sub(3, 50)
 		err := h.makeRoom(&s, 100)
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -45,7 +45,7 @@
 func newLink(h *Holder, service string) *link {
 	return &link{
 		h: h, service: service, out: ring.New[*wire.Frame](outQueueSize),
-		membersChanged: h.src.Members.Subscribe(), configChanged: h.src.Config.Subscribe(), leftCleanly: true,
+		membersChanged: h.deps.Members.Subscribe(), configChanged: h.deps.Config.Subscribe(), leftCleanly: true,
 	}
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (l *link) currentHome() (member.Member, bool) {
-	inForce := l.h.src.Config.Current()
+	inForce := l.h.deps.Config.Current()
 	if inForce == nil {
 		return member.Member{}, false
 	}
@@ -95,7 +95,7 @@
 		l.refuseAll()
 		return member.Member{}, false
 	}
-	return member.Home(l.service, l.h.src.Members.All(), inForce.Document.Rules.Lookup.HostsPerService)
+	return member.Home(l.service, l.h.deps.Members.All(), inForce.Document.Rules.Lookup.HostsPerService)
 }
 
 // refuseAll ends the waiting requests of a service that was removed from the
@@ -118,7 +118,7 @@
 	if l.leftCleanly || target.Incarnation == l.home.Incarnation {
 		return true
 	}
-	if old, ok := l.h.src.Members.Get(l.home.Incarnation); ok && old.Proved {
+	if old, ok := l.h.deps.Members.Get(l.home.Incarnation); ok && old.Proved {
 		return true
 	}
 	if left := time.Until(l.lastStamp.Add(core.MoveHold)); left > 0 {
@@ -142,12 +142,12 @@
 // follow opens a session to a home and runs it until it breaks or the home
 // moves.
 func (l *link) follow(ctx context.Context, target member.Member) {
-	st, err := l.h.src.Peers.OpenStream(ctx, peer.Target{Address: target.ControlAddress, Incarnation: target.Incarnation}, wire.StreamKind_STREAM_CELL, l.service)
+	st, err := l.h.deps.Peers.OpenStream(ctx, peer.Target{Address: target.ControlAddress, Incarnation: target.Incarnation}, wire.StreamKind_STREAM_CELL, l.service)
 	if err != nil {
 		return
 	}
 	if l.home.Incarnation != 0 && l.home.Incarnation != target.Incarnation {
-		l.h.src.Events.Record(event.HomeMoved, event.Fields{Service: l.service, Peer: target.Host})
+		l.h.deps.Events.Record(event.HomeMoved, event.Fields{Service: l.service, Peer: target.Host})
 	}
 	l.home, l.leftCleanly = target, false
 	s := &session{st: st, readerDone: make(chan struct{}), leaveNoted: make(chan struct{}), lastEcho: time.Now()}
@@ -198,7 +198,7 @@
 
 func (l *link) write(s *session, frames []*wire.Frame) error {
 	l.lastStamp = time.Now()
-	return wire.Write(s.st, &wire.Batch{Lamport: l.h.src.Events.Clock(), Frames: frames})
+	return wire.Write(s.st, &wire.Batch{Lamport: l.h.deps.Events.Clock(), Frames: frames})
 }
 
 // runSession sends queued frames and heartbeats. It returns when the home
@@ -214,7 +214,7 @@
 		case <-l.out.Ready():
 		case <-beat.C:
 			if s.silent() {
-				l.h.src.Events.Record(event.PeerSilent, event.Fields{Service: l.service, Peer: l.home.Host})
+				l.h.deps.Events.Record(event.PeerSilent, event.Fields{Service: l.service, Peer: l.home.Host})
 				return
 			}
 			frames = append(frames, &wire.Frame{Body: &wire.Frame_Heard{Heard: int64(l.h.stamp())}})
@@ -273,7 +273,7 @@
 		if wire.Read(s.st.Reader, &b) != nil {
 			return
 		}
-		l.h.src.Events.Witness(b.Lamport)
+		l.h.deps.Events.Witness(b.Lamport)
 		for _, f := range b.Frames {
 			if !l.handleFrame(s, f) {
 				return
@@ -296,7 +296,7 @@
 	}
 	a, err := cellwire.Action(f)
 	if err != nil {
-		l.h.src.Events.Record(event.DutyFailed, event.Fields{Service: l.service, Detail: err.Error()})
+		l.h.deps.Events.Record(event.DutyFailed, event.Fields{Service: l.service, Detail: err.Error()})
 		return false
 	}
 	s.mu.Lock()
--- a/internal/holder/record.go
+++ b/internal/holder/record.go
@@ -48,25 +48,25 @@
 
 // Submission is a validated request from the callers' interface.
 type Submission struct {
-	ID            ident.RequestID
-	Account       string
-	Service       string
-	Kind          string
-	Tier          int
-	Plain         bool
-	NonIdempotent bool
-	Keyed         bool
-	Path          string
-	ContentType   string
-	Body          []byte
-	PromptTokens  int
-	OutputTokens  int
-	Prefix        prefix.Key
-	PrefixTokens  int
-	Whole         prefix.Key
-	Deadline      time.Time
-	Resend        bool
-	Tried         []ident.Incarnation
+	ID                ident.RequestID
+	Account           string
+	Service           string
+	Kind              string
+	Tier              int
+	Plain             bool
+	NonIdempotent     bool
+	HasIdempotencyKey bool
+	Path              string
+	ContentType       string
+	Body              []byte
+	PromptTokens      int
+	OutputTokens      int
+	Prefix            prefix.Key
+	PrefixTokens      int
+	PromptKey         prefix.Key
+	Deadline          time.Time
+	Resend            bool
+	Tried             []ident.Incarnation
 	// LocateOnly requests an answer that some other host holds. Such a
 	// request has no body and is never dispatched from this host.
 	LocateOnly bool
@@ -75,7 +75,7 @@
 // needsClaim reports whether a claim row is required before the dispatch. A
 // keyed request needs one too: the same key may arrive at the same time through
 // two hosts that follow different homes.
-func (s *Submission) needsClaim() bool { return s.NonIdempotent || s.Keyed }
+func (s *Submission) needsClaim() bool { return s.NonIdempotent || s.HasIdempotencyKey }
 
 // Record is one request that this host holds. mu guards all fields below it.
 // The state chart decides every state transition.
@@ -118,8 +118,8 @@
 	return r.machine.State()
 }
 
-// Follow adds a reader; the returned function removes it.
-func (r *Record) Follow() (leave func()) {
+// AddReader adds a reader; the returned function removes it.
+func (r *Record) AddReader() (leave func()) {
 	r.mu.Lock()
 	r.readers++
 	r.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 func (r *Record) record(code event.Code, detail string) {
-	r.h.src.Events.Record(code, event.Fields{
+	r.h.deps.Events.Record(code, event.Fields{
 		Request: r.Sub.ID.String(), Service: r.Sub.Service, Server: r.h.serverName(r.Sub.Service, r.serverID()), Detail: detail,
 	})
 }
@@ -267,7 +267,7 @@
 	if asked {
 		owner := claim.Claimant{Incarnation: r.h.self, Token: r.claimToken}
 		r.h.unused.add(r.claimToken)
-		r.h.background(func(ctx context.Context) { r.h.src.Claims.Release(ctx, r.Sub.ID, owner) })
+		r.h.background(func(ctx context.Context) { r.h.deps.Claims.Release(ctx, r.Sub.ID, owner) })
 	}
 }
 
@@ -309,7 +309,7 @@
 	return core.Request{
 		ID: s.ID, Holder: r.h.self, Attempt: r.attempt, Account: ident.AccountIDOf(s.Account), Tier: s.Tier,
 		PromptTokens: s.PromptTokens, OutputTokens: s.OutputTokens,
-		Prefix: s.Prefix, PrefixTokens: s.PrefixTokens, Whole: s.Whole,
+		Prefix: s.Prefix, PrefixTokens: s.PrefixTokens, PromptKey: s.PromptKey,
 		Resend: s.Resend, Tried: s.Tried, Claimed: s.needsClaim(),
 	}
 }
--- a/internal/holder/relay.go
+++ b/internal/holder/relay.go
@@ -41,7 +41,7 @@
 // still be in transit.
 func (r *Record) handleUnproved(reason failure.Code) {
 	if reason == failure.UnknownRequest {
-		if m, ok := r.h.src.Members.Get(r.Sub.ID.Ticket()); ok && m.State != member.Dead && m.Incarnation != r.h.self {
+		if m, ok := r.h.deps.Members.Get(r.Sub.ID.Ticket()); ok && m.State != member.Dead && m.Incarnation != r.h.self {
 			r.attachTo(m.Incarnation, 0)
 			return
 		}
@@ -64,7 +64,7 @@
 // answer, it resumes the stream at the backend server.
 func (r *Record) relay(ctx context.Context, holder ident.Incarnation, server ident.ServerID) {
 	for ctx.Err() == nil {
-		m, ok := r.h.src.Members.Get(holder)
+		m, ok := r.h.deps.Members.Get(holder)
 		alive := ok && m.State != member.Dead
 		if alive {
 			switch r.relayFrom(ctx, m) {
@@ -103,7 +103,7 @@
 func (r *Record) relayFrom(ctx context.Context, m member.Member) relayResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	st, err := r.h.src.Peers.OpenStream(ctx, peer.Target{Address: m.ControlAddress, Incarnation: m.Incarnation}, wire.StreamKind_STREAM_ATTACH, r.Sub.Service)
+	st, err := r.h.deps.Peers.OpenStream(ctx, peer.Target{Address: m.ControlAddress, Incarnation: m.Incarnation}, wire.StreamKind_STREAM_ATTACH, r.Sub.Service)
 	if err != nil {
 		return relayBroken
 	}
@@ -152,7 +152,7 @@
 			r.endWith(&failure.Error{Code: failure.Code(p.Failure), Message: p.Message, RetryAfter: time.Duration(p.RetryAfterMs) * time.Millisecond, Unproved: p.Unproved})
 			return true
 		}
-		length, sum := r.answer.Whole()
+		length, sum := r.answer.LengthAndChecksum()
 		if uint64(length) != p.Length || sum != p.Checksum {
 			return false
 		}
@@ -183,7 +183,7 @@
 	if !ok || r.Sub.Plain {
 		return false
 	}
-	srv := r.h.src.Backends(b.Address, false)
+	srv := r.h.deps.Backends(b.Address, false)
 	if _, err := srv.Resume(ctx, r.Sub.ID, 0, &relaySink{r: r}); err != nil {
 		return false
 	}
@@ -197,7 +197,7 @@
 // resumeAtAnyServer calls resumeAt for each server of the service in turn. It
 // reports whether the record ended.
 func (r *Record) resumeAtAnyServer(ctx context.Context) bool {
-	inForce := r.h.src.Config.Current()
+	inForce := r.h.deps.Config.Current()
 	if inForce == nil || r.Sub.Plain {
 		return false
 	}
@@ -250,7 +250,7 @@
 	if wire.Write(st, &wire.AnswerHead{Found: r != nil}) != nil || r == nil {
 		return
 	}
-	leave := r.Follow()
+	leave := r.AddReader()
 	defer leave()
 	r.sendAnswer(st, int(req.Offset))
 }
@@ -299,6 +299,6 @@
 		p.Unproved = e.Unproved
 		return
 	}
-	length, sum := a.Whole()
+	length, sum := a.LengthAndChecksum()
 	p.Length, p.Checksum = uint64(length), sum
 }
--- a/internal/home/cell.go
+++ b/internal/home/cell.go
@@ -207,7 +207,7 @@
 	var live core.Members
 	for _, m := range all {
 		if m.State == member.Dead {
-			c.push(input{event: core.Gone{Holder: m.Incarnation, Proved: m.Proved}})
+			c.push(input{event: core.HolderLost{Holder: m.Incarnation, Proved: m.Proved}})
 			continue
 		}
 		live.Live = append(live.Live, m.Incarnation)
--- a/internal/home/manager.go
+++ b/internal/home/manager.go
@@ -26,14 +26,14 @@
 // holders that have not moved yet.
 const closeGrace = 3 * time.Second
 
-// Sources are the components that a Manager depends on.
-type Sources struct {
+// Dependencies are the components that a Manager depends on.
+type Dependencies struct {
 	Members *member.Table
 	Config  *configsync.Syncer
 	Peers   *peer.Manager
-	// Watch is the HTTP transport for reading the reports of backend servers and
+	// ServerTransport is the HTTP transport for reading the reports of backend servers and
 	// for ordering their states.
-	Watch http.RoundTripper
+	ServerTransport http.RoundTripper
 	// Table stores the leases under which orders are sent to backend servers.
 	Table platform.Table
 }
@@ -41,7 +41,7 @@
 // Manager opens and closes the cells of this host. mu guards cells and
 // leaving.
 type Manager struct {
-	src    Sources
+	deps   Dependencies
 	policy core.Policy
 	events *event.Recorder
 	ctx    context.Context
@@ -61,24 +61,24 @@
 }
 
 // NewManager returns a manager. SetPeers must be called before Run.
-func NewManager(ctx context.Context, src Sources, policy core.Policy, events *event.Recorder) *Manager {
+func NewManager(ctx context.Context, deps Dependencies, policy core.Policy, events *event.Recorder) *Manager {
 	return &Manager{
-		src: src, policy: policy, events: events, ctx: ctx,
+		deps: deps, policy: policy, events: events, ctx: ctx,
 		cells: map[string]*hostedCell{}, leaving: map[string]bool{},
 	}
 }
 
 // SetPeers sets the manager of the sessions with other hosts. It is created
 // after this manager, which serves streams of those sessions.
-func (m *Manager) SetPeers(p *peer.Manager) { m.src.Peers = p }
+func (m *Manager) SetPeers(p *peer.Manager) { m.deps.Peers = p }
 
 // reconcilePeriod bounds the delay after a missed notification.
 const reconcilePeriod = 500 * time.Millisecond
 
 // Run reconciles the cells with membership and configuration until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	members := m.src.Members.Subscribe()
-	configs := m.src.Config.Subscribe()
+	members := m.deps.Members.Subscribe()
+	configs := m.deps.Config.Subscribe()
 	tick := time.NewTicker(reconcilePeriod)
 	defer tick.Stop()
 	for {
@@ -105,12 +105,12 @@
 // reconcile opens, updates and closes cells as the membership and the
 // configuration in force require.
 func (m *Manager) reconcile() {
-	inForce := m.src.Config.Current()
+	inForce := m.deps.Config.Current()
 	if inForce == nil {
 		return
 	}
-	all := m.src.Members.All()
-	self := m.src.Members.Self().Incarnation
+	all := m.deps.Members.All()
+	self := m.deps.Members.Self().Incarnation
 	doc := inForce.Document
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,7 +259,7 @@
 // holder may detect earlier than this host that this host became the home.
 func (m *Manager) ServeCell(st *peer.Stream) {
 	defer func() { _ = st.Close() }()
-	inForce := m.src.Config.Current()
+	inForce := m.deps.Config.Current()
 	if inForce == nil {
 		return
 	}
@@ -271,7 +271,7 @@
 	h := m.cells[svc.Name]
 	if h == nil {
 		h = m.openCell(svc.Name)
-		m.update(h, inForce, svc, m.src.Members.All())
+		m.update(h, inForce, svc, m.deps.Members.All())
 	}
 	m.mu.Unlock()
 	h.cell.serveLink(st)
@@ -285,7 +285,7 @@
 		return
 	}
 	h.cell.tasks.Go(func() {
-		var ledger core.Inherit
+		var ledger core.LedgerHandover
 		if !h.cell.query(func(c *core.Cell) { ledger = c.Handover() }) {
 			return
 		}
@@ -297,7 +297,7 @@
 			msg.Covered = append(msg.Covered, uint64(inc))
 		}
 		target := peer.Target{Address: to.ControlAddress, Incarnation: to.Incarnation}
-		st, err := m.src.Peers.OpenStream(m.ctx, target, wire.StreamKind_STREAM_HANDOVER, service)
+		st, err := m.deps.Peers.OpenStream(m.ctx, target, wire.StreamKind_STREAM_HANDOVER, service)
 		if err != nil {
 			return // the new home rebuilds the ledger from the holders' reports
 		}
@@ -319,7 +319,7 @@
 	if err != nil {
 		return
 	}
-	ev := core.Inherit{Entries: entries}
+	ev := core.LedgerHandover{Entries: entries}
 	for _, inc := range msg.Covered {
 		ev.Covered = append(ev.Covered, ident.Incarnation(inc))
 	}
@@ -335,7 +335,7 @@
 // Status is the status of one cell for operators.
 type Status struct {
 	Service string              `json:"service"`
-	Ours    bool                `json:"ours"`
+	IsHome  bool                `json:"ours"`
 	Holders int                 `json:"holders"`
 	Running int                 `json:"running"`
 	Tiers   []core.TierCount    `json:"tiers"`
@@ -352,7 +352,7 @@
 	m.mu.Unlock()
 	var out []Status
 	for name, h := range cells {
-		s := Status{Service: name, Ours: h.lostAt.IsZero()}
+		s := Status{Service: name, IsHome: h.lostAt.IsZero()}
 		if h.cell.query(func(c *core.Cell) {
 			s.Holders, s.Running, s.Tiers, s.Servers = len(h.cell.links), c.Running(), c.Tiers(), c.Servers()
 		}) {
--- a/internal/home/orders.go
+++ b/internal/home/orders.go
@@ -13,8 +13,8 @@
 // closes, which is some time after another host has become the home; the lease
 // prevents two hosts from ordering at the same time.
 func (m *Manager) reconcileServerStates(h *hostedCell, service string) {
-	self := m.src.Members.Self().Incarnation
-	reconciler := order.NewReconciler(service, lease.New(service, self, m.src.Table, m.events, time.Now), m.events)
+	self := m.deps.Members.Self().Incarnation
+	reconciler := order.NewReconciler(service, lease.New(service, self, m.deps.Table, m.events, time.Now), m.events)
 	tick := time.NewTicker(order.ReconcilePeriod)
 	defer tick.Stop()
 	for {
@@ -42,7 +42,7 @@
 	var out []order.DesiredState
 	for _, b := range svc.BackendServers {
 		if b.Wants != "" {
-			out = append(out, order.DesiredState{Server: b.Name, State: b.Wants, ServerClient: backend.NewOrderer(b.Address, m.src.Watch)})
+			out = append(out, order.DesiredState{Server: b.Name, State: b.Wants, ServerClient: backend.NewServerClient(b.Address, m.deps.ServerTransport)})
 		}
 	}
 	return out
--- a/internal/home/watch.go
+++ b/internal/home/watch.go
@@ -31,7 +31,7 @@
 		h.watchers[b.Address] = stop
 		w := &serverWatcher{
 			manager: m, cell: h.cell, server: b, plain: svc.Kind == config.PlainService,
-			reports: backend.NewWatcher(b.Address, m.src.Watch),
+			reports: backend.NewWatcher(b.Address, m.deps.ServerTransport),
 		}
 		h.cell.tasks.Go(func() { w.run(ctx) })
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	n.client = dispatch.NewClient(n.incarnation, n.settings.AvailabilityZone, n.loop, n.servers, n.events)
 	n.follower = dispatch.NewFollower(n.client, n.members, n.peers, n.home, n.events, n.knownFleetSize, n.setShare)
 	n.entry = entry.NewHandler(entry.Dependencies{
-		Routes: &n.routes, Places: n.client, Pool: n.pool, Dialect: n.platform.Dialect,
+		Routes: &n.routes, Placer: n.client, Pool: n.pool, Dialect: n.platform.Dialect,
 		Events: n.events, Meter: entry.NewMeter(n.metrics),
 	})
 }
@@ -227,9 +227,9 @@
 
 // publishSuspects sends changed records of requests under which servers ended to the other
 // hosts and to the store.
-func (n *Node) publishSuspects(news []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
-	n.home.SendSuspects(news, lifted)
-	n.quarantined.applyChanges(news)
+func (n *Node) publishSuspects(changed []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
+	n.home.SendSuspects(changed, lifted)
+	n.quarantined.applyChanges(changed)
 }
 
 func (n *Node) serveStream(st *peer.Stream) {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -234,8 +234,8 @@
 func (r *rollouts) writeOutcomes(ctx context.Context) {
 	r.mu.Lock()
 	unwritten := make([]rollout.Status, 0, len(r.outcomes))
-	for _, standing := range r.outcomes {
-		unwritten = append(unwritten, standing)
+	for _, status := range r.outcomes {
+		unwritten = append(unwritten, status)
 	}
 	r.mu.Unlock()
 	if len(unwritten) == 0 {
@@ -245,29 +245,29 @@
 	if !r.callSucceeded(err) {
 		return
 	}
-	for _, standing := range unwritten {
-		if r.writeOutcome(ctx, standing, findRow(rows, standing.Order.Service)) {
-			r.forgetOutcome(standing)
+	for _, status := range unwritten {
+		if r.writeOutcome(ctx, status, findRow(rows, status.Order.Service)) {
+			r.forgetOutcome(status)
 		}
 	}
 }
 
 // writeOutcome writes how one trial ended. It reports whether nothing is left to do: the
 // outcome is written, or another host handles the order now.
-func (r *rollouts) writeOutcome(ctx context.Context, standing rollout.Status, current store.Row) bool {
+func (r *rollouts) writeOutcome(ctx context.Context, status rollout.Status, current store.Row) bool {
 	row, err := rollout.DecodeRow(current.Value)
-	if err != nil || row.Order != standing.Order.Row || row.By != r.host || row.Over() {
+	if err != nil || row.Order != status.Order.Row || row.By != r.host || row.Over() {
 		return true
 	}
-	row.Phase, row.Why = standing.Phase, standing.Why
-	return r.write(ctx, standing.Order, row, current.Version) == nil
+	row.Phase, row.Why = status.Phase, status.Why
+	return r.write(ctx, status.Order, row, current.Version) == nil
 }
 
-func (r *rollouts) forgetOutcome(standing rollout.Status) {
+func (r *rollouts) forgetOutcome(status rollout.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if current, ok := r.outcomes[standing.Order.Service]; ok && current.Order.Row == standing.Order.Row {
-		delete(r.outcomes, standing.Order.Service)
+	if current, ok := r.outcomes[status.Order.Service]; ok && current.Order.Row == status.Order.Row {
+		delete(r.outcomes, status.Order.Service)
 	}
 }
 
@@ -284,8 +284,8 @@
 	}
 	for _, row := range rows {
 		if service, ok := rollout.ServiceOfCommandKey(row.Key); ok {
-			wish := rollout.Command(row.Value)
-			r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.ApplyCommand(service, wish) })
+			command := rollout.Command(row.Value)
+			r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.ApplyCommand(service, command) })
 		}
 	}
 }
@@ -298,9 +298,9 @@
 		return 0
 	}
 	r.loop.Query(ctx, func(s *sched.Scheduler) {
-		for _, standing := range s.Rollouts() {
-			if isRunning(standing.Phase) && (d == 0 || standing.Order.Timeout < d) {
-				d = standing.Order.Timeout
+		for _, status := range s.Rollouts() {
+			if isRunning(status.Phase) && (d == 0 || status.Order.Timeout < d) {
+				d = status.Order.Timeout
 			}
 		}
 	})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -241,12 +241,12 @@
 		gauge("scheduler_waiting", int64(s.Waiting()))
 		gauge("scheduler_running", int64(s.Running()))
 		gauge("requests_in_quarantine", int64(s.QuarantinedRequests()))
-		for _, standing := range s.Rollouts() {
-			prefix := "rollout." + standing.Order.Service + "." + standing.Order.To
-			gauge(prefix+".requests_to_service", int64(standing.Reached))
-			gauge(prefix+".requests_tried", int64(standing.Tried))
-			gauge(prefix+".answers", int64(standing.Answers))
-			gauge(prefix+".answers_bad", int64(standing.Bad))
+		for _, status := range s.Rollouts() {
+			prefix := "rollout." + status.Order.Service + "." + status.Order.To
+			gauge(prefix+".requests_to_service", int64(status.Reached))
+			gauge(prefix+".requests_tried", int64(status.Tried))
+			gauge(prefix+".answers", int64(status.Answers))
+			gauge(prefix+".answers_bad", int64(status.Bad))
 		}
 	})
 	metrics.WriteOnce(n.metrics, w)
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -53,42 +53,42 @@
 
 // Reconcile renews the lease and compares every server with its desired state. Without the lease it
 // does nothing.
-func (g *Reconciler) Reconcile(ctx context.Context, wishes []DesiredState) {
-	if len(wishes) == 0 {
+func (r *Reconciler) Reconcile(ctx context.Context, desired []DesiredState) {
+	if len(desired) == 0 {
 		return
 	}
-	held, err := g.lease.AcquireOrRenew(ctx)
+	held, err := r.lease.AcquireOrRenew(ctx)
 	if err != nil && !held || !held {
 		return
 	}
-	for _, w := range wishes {
-		g.reconcileServer(ctx, w)
+	for _, d := range desired {
+		r.reconcileServer(ctx, d)
 	}
 }
 
-func (g *Reconciler) reconcileServer(ctx context.Context, w DesiredState) {
-	state, err := w.ServerClient.State(ctx)
-	if err != nil || state == w.State {
+func (r *Reconciler) reconcileServer(ctx context.Context, d DesiredState) {
+	state, err := d.ServerClient.State(ctx)
+	if err != nil || state == d.State {
 		return
 	}
-	id := ident.ServerIDOf(w.Server)
-	f := event.Fields{Service: g.service, Server: w.Server, Detail: w.State}
-	if g.lastOrdered[id] == w.State {
-		f.Detail = state + " instead of " + w.State
-		g.events.Record(event.OrderRepaired, f)
+	id := ident.ServerIDOf(d.Server)
+	f := event.Fields{Service: r.service, Server: d.Server, Detail: d.State}
+	if r.lastOrdered[id] == d.State {
+		f.Detail = state + " instead of " + d.State
+		r.events.Record(event.OrderRepaired, f)
 	}
 	// The lease is checked right before the order: reading the state may have taken long, or
 	// this process may have been paused since the round began.
-	fence, ok := g.lease.Held()
+	fence, ok := r.lease.Held()
 	if !ok {
 		return
 	}
-	err = w.ServerClient.Order(ctx, fence, w.State)
+	err = d.ServerClient.Order(ctx, fence, d.State)
 	switch {
 	case failure.Is(err, failure.StaleFence):
-		g.events.Record(event.OrderRefused, f)
+		r.events.Record(event.OrderRefused, f)
 	case err == nil:
-		g.lastOrdered[id] = w.State
-		g.events.Record(event.OrderSent, f)
+		r.lastOrdered[id] = d.State
+		r.events.Record(event.OrderSent, f)
 	}
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -80,30 +80,30 @@
 
 var _ = Describe("orders under a lease", func() {
 	var (
-		now    time.Time
-		t      *table
-		events *event.Recorder
-		giver  func(incarnation ident.Incarnation) *order.Reconciler
-		leases map[ident.Incarnation]*lease.Lease
+		now           time.Time
+		t             *table
+		events        *event.Recorder
+		newReconciler func(incarnation ident.Incarnation) *order.Reconciler
+		leases        map[ident.Incarnation]*lease.Lease
 	)
 	BeforeEach(func() {
 		now, t = time.Unix(1000, 0), &table{}
 		events = event.NewRecorder("a", "1", 100, log.NewNopLogger())
 		leases = map[ident.Incarnation]*lease.Lease{}
-		giver = func(incarnation ident.Incarnation) *order.Reconciler {
+		newReconciler = func(incarnation ident.Incarnation) *order.Reconciler {
 			leases[incarnation] = lease.New("svc", incarnation, t, events, func() time.Time { return now })
 			return order.NewReconciler("svc", leases[incarnation], events)
 		}
 	})
-	wish := func(e *engine, state string) []order.DesiredState {
+	desiredState := func(e *engine, state string) []order.DesiredState {
 		return []order.DesiredState{{Server: "engine-1", State: state, ServerClient: e}}
 	}
 	ctx := context.Background()
 	// takeOver runs rounds of a second host until it holds the lease.
 	takeOver := func(g *order.Reconciler, e *engine, state string) {
-		g.Reconcile(ctx, wish(e, state))
+		g.Reconcile(ctx, desiredState(e, state))
 		now = now.Add(lease.TTL + lease.TakeoverMargin + time.Millisecond)
-		g.Reconcile(ctx, wish(e, state))
+		g.Reconcile(ctx, desiredState(e, state))
 	}
 
 	// The holder is paused between its last check of the lease and the sending of the order,
@@ -111,8 +111,8 @@
 	// order arrives afterwards.
 	It("refuses a delayed order of an old holder at an engine that checks the fencing number", func() {
 		e := &engine{checksFence: true, hold: true}
-		giver(1).Reconcile(ctx, wish(e, "old-model"))
-		takeOver(giver(2), e, "new-model")
+		newReconciler(1).Reconcile(ctx, desiredState(e, "old-model"))
+		takeOver(newReconciler(2), e, "new-model")
 		Expect(e.state).To(Equal("new-model"))
 		Expect(failure.Is(e.late(), failure.StaleFence)).To(BeTrue())
 		Expect(e.state).To(Equal("new-model"))
@@ -120,13 +120,13 @@
 
 	It("repairs an engine that ignores the fencing number in the next round", func() {
 		e := &engine{hold: true}
-		giver(1).Reconcile(ctx, wish(e, "old-model"))
-		second := giver(2)
+		newReconciler(1).Reconcile(ctx, desiredState(e, "old-model"))
+		second := newReconciler(2)
 		takeOver(second, e, "new-model")
 		Expect(e.late()).To(Succeed())
 		Expect(e.state).To(Equal("old-model"), "an engine that ignores the number accepts the delayed order")
 		now = now.Add(order.ReconcilePeriod)
-		second.Reconcile(ctx, wish(e, "new-model"))
+		second.Reconcile(ctx, desiredState(e, "new-model"))
 		Expect(e.state).To(Equal("new-model"))
 		Expect(events.Events(event.Filter{Server: "engine-1"})).To(ContainElement(HaveField("Code", event.OrderRepaired)))
 	})
@@ -135,13 +135,13 @@
 	// clock that the lease has expired, before the store reports it.
 	It("sends no order after a pause in which the lease expired", func() {
 		e := &engine{}
-		first := giver(1)
-		first.Reconcile(ctx, wish(e, "a"))
+		first := newReconciler(1)
+		first.Reconcile(ctx, desiredState(e, "a"))
 		now = now.Add(lease.TTL)
 		_, held := leases[1].Held()
 		Expect(held).To(BeFalse())
 		t.down = true
-		first.Reconcile(ctx, wish(e, "b"))
+		first.Reconcile(ctx, desiredState(e, "b"))
 		Expect(e.state).To(Equal("a"))
 	})
 
@@ -155,15 +155,15 @@
 
 	It("recognizes its own write after the answer was lost", func() {
 		t.loseAnswer = true
-		giver(1)
+		newReconciler(1)
 		held, err := leases[1].AcquireOrRenew(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held).To(BeTrue())
 	})
 
 	It("gives a higher number to each new holder, and to the same holder after expiry", func() {
-		giver(1)
-		giver(2)
+		newReconciler(1)
+		newReconciler(2)
 		_, _ = leases[1].AcquireOrRenew(ctx)
 		first, _ := leases[1].Held()
 		_, _ = leases[2].AcquireOrRenew(ctx)
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -50,16 +50,16 @@
 		return Unrestricted
 	}
 	if !e.lastJudgment.stale(now, t.revision) {
-		return e.lastJudgment.standing
+		return e.lastJudgment.verdict
 	}
-	standing := t.judge(now, f, e, peers)
-	e.lastJudgment = judgment{standing: standing, at: now, revision: t.revision}
-	return standing
+	verdict := t.judge(now, f, e, peers)
+	e.lastJudgment = judgment{verdict: verdict, at: now, revision: t.revision}
+	return verdict
 }
 
 // judgment is a cached result of Judge.
 type judgment struct {
-	standing Verdict
+	verdict  Verdict
 	at       Time
 	revision uint64 // of the table
 }
--- a/internal/replay/corepolicy.go
+++ b/internal/replay/corepolicy.go
@@ -118,8 +118,8 @@
 		ID: requestID(index), Holder: holderIncarnation, Account: ident.AccountID(a.Account), Tier: a.Tier,
 		PromptTokens: a.PrefixTokens + a.OwnTokens, OutputTokens: a.OutputTokens,
 		Prefix: prefix.Key(a.Prefix), PrefixTokens: a.PrefixTokens,
-		Whole:    prefix.Key(1<<40 + index),
-		Deadline: s.now(arrived + time.Duration(a.DeadlineMS)*time.Millisecond),
+		PromptKey: prefix.Key(1<<40 + index),
+		Deadline:  s.now(arrived + time.Duration(a.DeadlineMS)*time.Millisecond),
 	}})
 }
 
@@ -138,13 +138,13 @@
 		}
 		return
 	}
-	s.step(now, core.Heard{Holder: holderIncarnation, Stamp: core.Stamp(now)})
+	s.step(now, core.Heartbeat{Holder: holderIncarnation, Stamp: core.Stamp(now)})
 	s.step(now, core.Tick{})
 }
 
 func (s *coreScheduler) Progress(now time.Duration, server, tokens int, seqTime time.Duration) {
 	if seqTime > 0 {
-		s.step(now, core.Progress{Server: serverID(server), Tokens: tokens, SeqTime: seqTime})
+		s.step(now, core.Progress{Server: serverID(server), Tokens: tokens, StreamTime: seqTime})
 	}
 }
 
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Tier is the result of one tier or one client account.
-type Tier struct {
+// Tally is the result of one tier or one client account.
+type Tally struct {
 	Number  int
 	Offered int
 	InTime  int
@@ -18,7 +18,7 @@
 }
 
 // Goodput returns the share of the requests answered in full before their deadline.
-func (t Tier) Goodput() float64 {
+func (t Tally) Goodput() float64 {
 	if t.Offered == 0 {
 		return 0
 	}
@@ -26,7 +26,7 @@
 }
 
 // P99 returns the 99th percentile of the time from arrival to the end of the answer.
-func (t Tier) P99() time.Duration {
+func (t Tally) P99() time.Duration {
 	if len(t.Waits) == 0 {
 		return 0
 	}
@@ -35,22 +35,22 @@
 
 // Result is the result of replaying a trace.
 type Result struct {
-	Tiers    map[int]*Tier
-	Accounts map[int]*Tier
-	Computed int // prompt tokens that were computed
-	Repeated int // of them, tokens that another server had cached
-	Unread   int // of the others, tokens computed for late answers
+	Tiers       map[int]*Tally
+	Accounts    map[int]*Tally
+	Computed    int // prompt tokens that were computed
+	Repeated    int // of them, tokens that another server had cached
+	Undelivered int // of the others, tokens computed for late answers
 	// Dispatches holds the times at which each server received requests.
 	Dispatches map[string][]time.Duration
-	Ended      time.Duration // time of the last event
+	EndedAt    time.Duration // time of the last event
 }
 
-// Wasted returns the share of the computed prompt tokens that were repeated or unread.
+// Wasted returns the share of the computed prompt tokens that were repeated or undelivered.
 func (r Result) Wasted() float64 {
 	if r.Computed == 0 {
 		return 0
 	}
-	return float64(r.Repeated+r.Unread) / float64(r.Computed)
+	return float64(r.Repeated+r.Undelivered) / float64(r.Computed)
 }
 
 // DispatchedBetween returns the number of requests that a server received between two times.
@@ -64,8 +64,8 @@
 	return n
 }
 
-// Numbers returns the numbers of the tiers, most urgent first.
-func (r Result) Numbers() []int {
+// TierNumbers returns the numbers of the tiers, most urgent first.
+func (r Result) TierNumbers() []int {
 	var out []int
 	for n := range r.Tiers {
 		out = append(out, n)
@@ -74,20 +74,20 @@
 	return out
 }
 
-func tierOf(m *map[int]*Tier, n int) *Tier {
+func tierOf(m *map[int]*Tally, n int) *Tally {
 	if *m == nil {
-		*m = map[int]*Tier{}
+		*m = map[int]*Tally{}
 	}
 	t := (*m)[n]
 	if t == nil {
-		t = &Tier{Number: n}
+		t = &Tally{Number: n}
 		(*m)[n] = t
 	}
 	return t
 }
 
 func (r *Result) addOutcome(a *Line, o outcome, now time.Duration) {
-	for _, t := range []*Tier{tierOf(&r.Tiers, a.Tier), tierOf(&r.Accounts, a.Account)} {
+	for _, t := range []*Tally{tierOf(&r.Tiers, a.Tier), tierOf(&r.Accounts, a.Account)} {
 		t.Offered++
 		switch o {
 		case inTime:
@@ -106,23 +106,23 @@
 	r.Computed += j.computed
 	r.Repeated += j.repeated
 	if o == late {
-		r.Unread += j.computed - j.repeated
+		r.Undelivered += j.computed - j.repeated
 	}
 }
 
 func (r *Result) finish(x *run) {
-	r.Ended = x.endedAt
-	for _, m := range []map[int]*Tier{r.Tiers, r.Accounts} {
+	r.EndedAt = x.endedAt
+	for _, m := range []map[int]*Tally{r.Tiers, r.Accounts} {
 		for _, t := range m {
 			sort.Slice(t.Waits, func(i, j int) bool { return t.Waits[i] < t.Waits[j] })
 		}
 	}
 }
 
-// Stated returns the lines of a trace that state this result.
-func (r Result) Stated() []Line {
+// ExpectLines returns the lines of a trace that state this result.
+func (r Result) ExpectLines() []Line {
 	var out []Line
-	for _, n := range r.Numbers() {
+	for _, n := range r.TierNumbers() {
 		t := r.Tiers[n]
 		out = append(out, Line{Kind: LineExpect, Tier: n, Offered: t.Offered, InTime: t.InTime, Late: t.Late, Shed: t.Shed})
 	}
@@ -140,7 +140,7 @@
 		if l.Kind != LineExpect {
 			continue
 		}
-		what, got := fmt.Sprintf("tier %d", l.Tier), Tier{}
+		what, got := fmt.Sprintf("tier %d", l.Tier), Tally{}
 		if l.Account > 0 {
 			what = fmt.Sprintf("account %d", l.Account)
 			if v := r.Accounts[l.Account]; v != nil {
--- a/internal/rollout/row.go
+++ b/internal/rollout/row.go
@@ -49,13 +49,13 @@
 	return r, failure.Wrap(failure.BadConfig, json.Unmarshal(value, &r), "decode a roll-out")
 }
 
-// wishKeyPrefix precedes the service in the key of an operator's wish.
-const wishKeyPrefix = "wish/"
+// commandKeyPrefix precedes the service in the key of an operator's command.
+const commandKeyPrefix = "wish/"
 
 // CommandKey returns the key of the row with an operator's command for a service's roll-out.
-func CommandKey(service string) string { return wishKeyPrefix + service }
+func CommandKey(service string) string { return commandKeyPrefix + service }
 
 // ServiceOfCommandKey returns the service in the key of a command.
 func ServiceOfCommandKey(key string) (service string, ok bool) {
-	return strings.CutPrefix(key, wishKeyPrefix)
+	return strings.CutPrefix(key, commandKeyPrefix)
 }
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -295,8 +295,8 @@
 	return t.Phase() == Moving && t.fire(evEmpty, t.why)
 }
 
-// Standing returns the current figures of the trial.
-func (t *Trial) Standing() Status {
+// Status returns the current figures of the trial.
+func (t *Trial) Status() Status {
 	r := Status{
 		Order: t.Order, Phase: t.Phase(), Why: t.why, Reached: t.reached, Tried: t.tried,
 		Answers: t.samples.n, Bad: t.samples.bad, Routes: map[string]RouteStatus{},
@@ -305,12 +305,12 @@
 		r.Routes[route] = RouteStatus{Tried: t.tries[route], Usual: b.bad[failing].value}
 	}
 	t.samples.newest(func(s judgedAnswer) bool {
-		standing := r.Routes[s.route]
-		standing.Answers++
+		status := r.Routes[s.route]
+		status.Answers++
 		if s.isBad() {
-			standing.Bad++
+			status.Bad++
 		}
-		r.Routes[s.route] = standing
+		r.Routes[s.route] = status
 		return true
 	})
 	return r
@@ -341,20 +341,20 @@
 
 // The operators' commands.
 const (
-	WishPause    Command = "pause"
-	WishResume   Command = "resume"
-	WishTakeBack Command = "take-back"
+	CommandPause    Command = "pause"
+	CommandResume   Command = "resume"
+	CommandTakeBack Command = "take-back"
 )
 
 // Apply carries out an operator's command and reports whether the phase changed.
-func (t *Trial) Apply(w Command) bool {
+func (t *Trial) Apply(command Command) bool {
 	const why = "by an operator's word"
-	switch w {
-	case WishPause:
+	switch command {
+	case CommandPause:
 		return t.fire(evPause, why)
-	case WishResume:
+	case CommandResume:
 		return t.fire(evResume, why)
-	case WishTakeBack:
+	case CommandTakeBack:
 		return t.fire(evBad, why)
 	}
 	return false
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -146,13 +146,13 @@
 	})
 
 	It("is paused, resumed and rolled back by operators", func() {
-		Expect(t.Apply(WishPause)).To(BeTrue())
-		Expect(t.Apply(WishPause)).To(BeFalse(), "repeated command")
+		Expect(t.Apply(CommandPause)).To(BeTrue())
+		Expect(t.Apply(CommandPause)).To(BeFalse(), "repeated command")
 		Expect(t.Turn(0, []Candidate{{Server: "a", Slots: 4}})).To(BeEmpty())
-		Expect(t.Apply(WishResume)).To(BeTrue())
-		Expect(t.Apply(WishTakeBack)).To(BeTrue())
+		Expect(t.Apply(CommandResume)).To(BeTrue())
+		Expect(t.Apply(CommandTakeBack)).To(BeTrue())
 		Expect(t.State()).To(Equal(RolledBack))
-		Expect(t.Apply(WishResume)).To(BeFalse(), "it is over")
+		Expect(t.Apply(CommandResume)).To(BeFalse(), "it is over")
 	})
 
 	It("ends when a newer order replaces it", func() {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -251,7 +251,7 @@
 // The caller of a stream disconnects when it has waited too long for its first event. One
 // that is told to retry before that has another attempt, and time to outlast a burst.
 func (s *Scheduler) refuseIfOverdue(now Time, svc *service, w *waiting) bool {
-	if s.standing(now, &w.Request) == quarantine.Quarantined {
+	if s.verdict(now, &w.Request) == quarantine.Quarantined {
 		s.refuseQuarantined(now, w)
 		return true
 	}
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -118,12 +118,12 @@
 
 // ApplyCommand applies an operator's command to pause or resume a trial or to roll the version
 // back.
-func (s *Scheduler) ApplyCommand(service string, wish rollout.Command) {
+func (s *Scheduler) ApplyCommand(service string, command rollout.Command) {
 	v := s.versions[service]
 	if v == nil || v.trial == nil {
 		return
 	}
-	if v.trial.Apply(wish) {
+	if v.trial.Apply(command) {
 		s.recordRolloutStep(v)
 	}
 }
@@ -140,7 +140,7 @@
 	var out []rollout.Status
 	for _, v := range s.versions {
 		if v.trial != nil {
-			out = append(out, v.trial.Standing())
+			out = append(out, v.trial.Status())
 		}
 	}
 	return out
@@ -172,7 +172,7 @@
 	default:
 		v.phase = phaseTrying
 	}
-	s.rollouts = append(s.rollouts, v.trial.Standing())
+	s.rollouts = append(s.rollouts, v.trial.Status())
 	s.groupServers()
 }
 
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -105,7 +105,7 @@
 	case svc == nil:
 		s.refuse(now, w, NoService, s.policy.RetryAfter)
 		return s.out, false
-	case s.standing(now, &r) == quarantine.Quarantined:
+	case s.verdict(now, &r) == quarantine.Quarantined:
 		s.refuseQuarantined(now, w)
 		return s.out, false
 	case r.Retry && !s.takeRetry(now, svc):
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -38,9 +38,9 @@
 	s.suspects.SetEntryTTL(d)
 }
 
-// standing returns how a request is to be treated, given the servers that ended while they ran
+// verdict returns how a request is to be treated, given the servers that ended while they ran
 // it.
-func (s *Scheduler) standing(now Time, r *Request) quarantine.Verdict {
+func (s *Scheduler) verdict(now Time, r *Request) quarantine.Verdict {
 	if !s.suspects.Has(r.Fingerprint) {
 		return quarantine.Unrestricted
 	}
@@ -84,13 +84,13 @@
 // run one at a time. A host that schedules alone knows neither all ends nor all copies, and
 // leaves isolated requests to its home.
 func (s *Scheduler) heldBack(now Time, r *Request) bool {
-	standing := s.standing(now, r)
+	verdict := s.verdict(now, r)
 	switch {
-	case standing == quarantine.Unrestricted:
+	case verdict == quarantine.Unrestricted:
 		return false
-	case standing == quarantine.Undecided || standing == quarantine.Quarantined || s.copies[r.Fingerprint] > 0:
+	case verdict == quarantine.Undecided || verdict == quarantine.Quarantined || s.copies[r.Fingerprint] > 0:
 		return true
-	case standing == quarantine.Isolated && s.share.Servers < 1:
+	case verdict == quarantine.Isolated && s.share.Servers < 1:
 		return true
 	}
 	svc := s.services[r.Service]
@@ -181,7 +181,7 @@
 // the runs of those in quarantine.
 func (s *Scheduler) reviewSuspects(now Time) {
 	for f, service := range s.review {
-		switch s.standing(now, &Request{Fingerprint: f, Service: service}) {
+		switch s.verdict(now, &Request{Fingerprint: f, Service: service}) {
 		case quarantine.Undecided:
 		case quarantine.Quarantined:
 			delete(s.review, f)
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -20,17 +20,17 @@
 
 // Work describes the requests of one kind in a load.
 type Work struct {
-	Service  string
-	Kind     string
-	Tier     int
-	Rate     float64 // requests per second
-	Prefixes int     // number of shared prompt prefixes
-	Prefix   int     // length of a shared prefix in tokens
-	Own      int     // mean length of the unshared part in tokens; drawn from 0.3 to 1.7 times the mean
-	Output   int     // mean output in tokens; drawn from 0.3 to 1.7 times the mean
-	Deadline time.Duration
-	Path     string // for requests to a plain service
-	NonIdem  bool   // sent with an idempotency key
+	Service        string
+	Kind           string
+	Tier           int
+	Rate           float64 // requests per second
+	PrefixCount    int     // number of shared prompt prefixes
+	PrefixTokens   int     // length of a shared prefix in tokens
+	UnsharedTokens int     // mean length of the unshared part in tokens; drawn from 0.3 to 1.7 times the mean
+	Output         int     // mean output in tokens; drawn from 0.3 to 1.7 times the mean
+	Deadline       time.Duration
+	Path           string // for requests to a plain service
+	NonIdempotent  bool   // sent with an idempotency key
 }
 
 // TierResult counts the outcomes of one tier of a load.
@@ -88,8 +88,8 @@
 // Prompt makes a prompt of a shared prefix and an unshared part of own tokens.
 func (w Work) Prompt(prefixIndex, own int, salt string) string {
 	var b strings.Builder
-	padTo(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, prefixIndex), w.Prefix*prefix.BytesPerToken)
-	padTo(&b, salt+" ", (w.Prefix+own)*prefix.BytesPerToken)
+	padTo(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, prefixIndex), w.PrefixTokens*prefix.BytesPerToken)
+	padTo(&b, salt+" ", (w.PrefixTokens+own)*prefix.BytesPerToken)
 	return b.String()
 }
 
@@ -105,16 +105,16 @@
 func (w Work) request(rng *rand.Rand, n int) *caller.Request {
 	if w.Path != "" {
 		req := &caller.Request{Kind: w.Kind, Path: w.Path, Body: []byte(fmt.Sprintf(`{"n":%d}`, n)), ContentType: "application/json"}
-		if w.NonIdem {
+		if w.NonIdempotent {
 			req.Key = fmt.Sprintf("%s-%s-%d-%d", w.Service, w.Kind, n, rng.Uint64())
 		}
 		return req
 	}
 	u := rng.Float64()
-	prefixIndex := int(float64(w.Prefixes) * u * u)
+	prefixIndex := int(float64(w.PrefixCount) * u * u)
 	return &caller.Request{
-		Kind: w.Kind, Prompt: w.Prompt(prefixIndex, vary(rng, w.Own), strconv.FormatUint(rng.Uint64(), 36)),
-		MaxTokens: vary(rng, w.Output), PrefixTokens: w.Prefix, Stream: true,
+		Kind: w.Kind, Prompt: w.Prompt(prefixIndex, vary(rng, w.UnsharedTokens), strconv.FormatUint(rng.Uint64(), 36)),
+		MaxTokens: vary(rng, w.Output), PrefixTokens: w.PrefixTokens, Stream: true,
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,7 +39,7 @@
 	It("keeps a register within the bytes that the control budget allows", func() {
 		req := core.Request{
 			ID: ident.NewRequestID(ident.NewIncarnation()), Account: 1 << 31, Tier: 3, PromptTokens: 30500, OutputTokens: 700,
-			Prefix: 1 << 63, PrefixTokens: 30000, Whole: 1 << 62,
+			Prefix: 1 << 63, PrefixTokens: 30000, PromptKey: 1 << 62,
 		}
 		var b bytes.Buffer
 		Expect(wire.Write(&b, &wire.Batch{Frames: []*wire.Frame{cellwire.RegisterFrame(&req, 90e9)}})).To(Succeed())
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -346,7 +346,7 @@
 				continue
 			}
 			for _, c := range s.Homes {
-				if c.Service == service && c.Ours {
+				if c.Service == service && c.IsHome {
 					home = h
 				}
 			}
@@ -469,10 +469,10 @@
 		Clients: map[string]*caller.Client{modelService: f.client(modelService), plainService: f.client(plainService)},
 		Works: []standin.Work{
 			{Service: plainService, Kind: "match", Tier: 1, Rate: 20, Deadline: 20 * time.Second, Path: "match"},
-			{Service: plainService, Kind: "pickup", Tier: 1, Rate: 20, Deadline: 20 * time.Second, Path: "pickup", NonIdem: true},
-			{Service: modelService, Kind: "chat", Tier: 2, Rate: rate * 0.6, Prefixes: 3, Prefix: 256, Own: 50, Output: 40, Deadline: 20 * time.Second},
-			{Service: modelService, Kind: "appraisal", Tier: 3, Rate: rate * 0.2, Prefixes: 2, Prefix: 512, Own: 500, Output: 100, Deadline: 20 * time.Second},
-			{Service: modelService, Kind: "digest", Tier: 4, Rate: rate * 0.2, Prefixes: 2, Prefix: 256, Own: 300, Output: 80, Deadline: 20 * time.Second},
+			{Service: plainService, Kind: "pickup", Tier: 1, Rate: 20, Deadline: 20 * time.Second, Path: "pickup", NonIdempotent: true},
+			{Service: modelService, Kind: "chat", Tier: 2, Rate: rate * 0.6, PrefixCount: 3, PrefixTokens: 256, UnsharedTokens: 50, Output: 40, Deadline: 20 * time.Second},
+			{Service: modelService, Kind: "appraisal", Tier: 3, Rate: rate * 0.2, PrefixCount: 2, PrefixTokens: 512, UnsharedTokens: 500, Output: 100, Deadline: 20 * time.Second},
+			{Service: modelService, Kind: "digest", Tier: 4, Rate: rate * 0.2, PrefixCount: 2, PrefixTokens: 256, UnsharedTokens: 300, Output: 80, Deadline: 20 * time.Second},
 		},
 		Seed: 7,
 	}
--- a/test/platform/explain_test.go
+++ b/test/platform/explain_test.go
@@ -32,10 +32,10 @@
 		r := s.send(s.hosts[0], confirm())
 		Expect(r.Status).To(Equal(http.StatusBadGateway))
 		Eventually(func(g Gomega) {
-			story := s.story(g, r.Attempt)
-			g.Expect(story.Cause()).To(ContainSubstring("may have run"))
-			g.Expect(story.Request[0].Name).To(Equal("server_lost"))
-			g.Expect(story.Request[0].Server).To(MatchRegexp(`^i-app0@\d+$`), "the server and its start")
+			history := s.story(g, r.Attempt)
+			g.Expect(history.Cause()).To(ContainSubstring("may have run"))
+			g.Expect(history.Request[0].Name).To(Equal("server_lost"))
+			g.Expect(history.Request[0].Server).To(MatchRegexp(`^i-app0@\d+$`), "the server and its start")
 		}).Should(Succeed())
 	})
 
@@ -61,9 +61,9 @@
 		r := s.send(s.hosts[0], confirm())
 		Expect(r.Status).To(Equal(http.StatusServiceUnavailable))
 		Eventually(func(g Gomega) {
-			story := s.story(g, r.Attempt)
-			g.Expect(story.Cause()).To(Or(ContainSubstring("out of reach"), ContainSubstring("Overload")))
-			g.Expect(story.Request[0].Name).To(Equal("server_unreachable"))
+			history := s.story(g, r.Attempt)
+			g.Expect(history.Cause()).To(Or(ContainSubstring("out of reach"), ContainSubstring("Overload")))
+			g.Expect(history.Request[0].Name).To(Equal("server_unreachable"))
 		}).Should(Succeed())
 	})
 })
