--- a/cmd/gentianlab/load.go
+++ b/cmd/gentianlab/load.go
@@ -61,8 +61,8 @@
 	return l.finish(cmd.String("report"))
 }
 
-// conclude prints what came of the load; an answer that is whole but not the
-// server's is an error.
+// finish prints the results of the load. It fails if an answer was complete but not the
+// server's.
 func (l *loader) finish(path string) error {
 	l.report.Print(os.Stdout)
 	var err error
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// readHosts finds the look-up addresses in the settings files.
+// readLookupAddresses reads the look-up addresses in the settings files.
 func (l *loader) readLookupAddresses(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.conf"))
 	if err != nil {
@@ -191,7 +191,7 @@
 	l.report.Add(request, end, latency)
 }
 
-// judge tells how a request ended for its caller.
+// classify returns how a request ended for its caller.
 func classify(kind lab.Kind, call standin.Call, reply standin.Reply) (lab.End, time.Duration) {
 	latency := reply.Duration
 	if call.Prompt > 0 {
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -112,7 +112,7 @@
 	configTimeout  = 2 * time.Second
 )
 
-// configFromPeers implements configsync.PeerSource.
+// configFromPeers implements configsync.FetchFromPeers.
 func (d *Daemon) configFromPeers(ctx context.Context, above uint64) (uint64, string, []byte, error) {
 	peers := d.newerPeers(above)
 	for _, m := range peers[:min(maxConfigPeers, len(peers))] {
@@ -200,7 +200,7 @@
 	portCheckTimeout  = 300 * time.Millisecond
 )
 
-// Broke implements peer.Observer. When a process dies, its sessions end and its
+// SessionEnded implements peer.Observer. When a process dies, its sessions end and its
 // port refuses connections. Connecting to the port immediately proves the death
 // within milliseconds, before the next membership probe would detect it.
 func (o peerObserver) SessionEnded(inc ident.Incarnation) {
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -37,12 +37,12 @@
 	Interruptible   bool // the run may be aborted and repeated or resumed on another server
 }
 
-// Place is a placement: the permission to send a request once to a backend server.
+// Placement is the permission to send a request once to a backend server.
 type Placement struct {
 	ID      uint64
 	Server  string
 	Address string
-	// Alone is set if the local loop made the placement, not the home.
+	// Local is set if the local loop made the placement, not the home.
 	Local bool
 	// ListAge is the age of this host's server list when it received the placement.
 	ListAge time.Duration
@@ -251,7 +251,7 @@
 	})
 }
 
-// Blame reports that a server failed a request which another server then answered.
+// RecordServerFault reports that a server failed a request which another server then answered.
 func (c *Client) RecordServerFault(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -307,7 +307,7 @@
 	}
 	// A home that has lost its connection to the store still places at servers that have
 	// shut down since. If this host knows of the shutdown, it returns the placement with
-	// the result Gone, which informs the home, and submits the request again.
+	// the result Replaced, which informs the home, and submits the request again.
 	if c.leaving(d.Server) {
 		c.returnPlacement(d.ID, via, sched.Replaced)
 		c.send(d.ID, p)
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -15,12 +15,12 @@
 const (
 	service = "engines"
 	holder  = 1
-	// tick is how often time passes at the scheduler, reach what a message takes
-	// between caller, holder and server.
+	// tickInterval is the time between two ticks of the scheduler, messageDelay the time
+	// that a message takes between caller, holder and server.
 	tickInterval = 10 * time.Millisecond
 	messageDelay = 2 * time.Millisecond
-	// returnMost is the part of its time left that a caller honours of what it is
-	// told to wait.
+	// maxRetryAfterShare limits the Retry-After that a caller follows, as a fraction of its
+	// time left.
 	maxRetryAfterShare = 1.0 / 3
 )
 
@@ -96,7 +96,7 @@
 
 func (r *request) size() float64 { return float64(r.prompt + 10*r.output) }
 
-// day is one play of a load.
+// simulation is one run of a load.
 type simulation struct {
 	load          *Load
 	scheduler     *sched.Scheduler
@@ -110,7 +110,7 @@
 	outcomes      []Outcome
 }
 
-// Play plays a load with a policy; the same seed gives the same requests.
+// Simulate runs a load with a policy; the same seed gives the same requests.
 func Simulate(l *Load, p sched.Policy, seed uint64) []Outcome {
 	sim := &simulation{
 		load: l, scheduler: sched.New(p), rng: rand.New(rand.NewPCG(seed, 7)),
@@ -139,7 +139,7 @@
 	heap.Push(&sim.eventQueue, scheduledEvent{at, sim.seq, do})
 }
 
-// pass lets time pass at the scheduler until all is answered.
+// tickScheduler ticks the scheduler until all requests are answered.
 func (sim *simulation) tickScheduler(now time.Duration) {
 	sim.apply(now, sim.scheduler.Tick(now))
 	if now < sim.load.Length || len(sim.open) > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// size draws a lognormal size.
+// lognormal draws a size from a lognormal distribution.
 func (sim *simulation) lognormal(median, sigma float64, limit int) int {
 	return min(limit, 1+int(median*math.Exp(sigma*sim.rng.NormFloat64())))
 }
@@ -216,7 +216,7 @@
 	}
 }
 
-// refused lets the caller come back once, when told.
+// retryOrRefuse handles a refusal: the caller retries once, after retryAfter.
 func (sim *simulation) retryOrRefuse(now time.Duration, r *request, retryAfter time.Duration) {
 	left := r.submittedAt + sim.load.Kinds[r.kind].Deadline - now
 	if r.retried || left <= 0 {
@@ -227,7 +227,7 @@
 	sim.schedule(now+min(retryAfter, time.Duration(maxRetryAfterShare*float64(left))), func(now time.Duration) { sim.submit(now, r) })
 }
 
-// leave ends a request that has waited for longer than its caller does.
+// callerTimeout ends a request that has waited for longer than its caller does.
 func (sim *simulation) callerTimeout(now time.Duration, id uint64) {
 	r := sim.open[id]
 	if r == nil || r.running {
@@ -238,7 +238,7 @@
 	sim.apply(now, sim.scheduler.Withdraw(now, sched.Key{Holder: holder, ID: id}))
 }
 
-// watch plans the end of the step in progress at a server.
+// scheduleStep schedules the end of the step in progress at a server.
 func (sim *simulation) scheduleStep(server string) {
 	at, busy := sim.engines[server].StepEnd()
 	if !busy || sim.stepScheduled[server] {
@@ -254,7 +254,7 @@
 	})
 }
 
-// event takes an event of a stream to its caller.
+// deliver passes an event of a stream to its caller.
 func (sim *simulation) deliver(now time.Duration, ev engine.Event) {
 	r := sim.open[ev.ID]
 	if r == nil {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -8,8 +8,8 @@
 	"github.com/gentianflow/gentianflow/internal/engine"
 )
 
-// Kind is one kind of request. Sizes have a lognormal distribution; Sigma is the standard
-// deviation of the logarithm.
+// Kind is one kind of request. Sizes have a lognormal distribution; PromptSigma and
+// OutputSigma are the standard deviations of the logarithms.
 type Kind struct {
 	Name          string
 	Priority      int // 0 is the most urgent
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -35,21 +35,22 @@
 	Rate    float64 // requests a second over all routes
 	Length  time.Duration
 	Version BadVersion
-	// Own is the share of answers that fail on the first route whoever runs them.
+	// FirstRouteFailShare is the share of answers that fail on the first route at any server.
 	FirstRouteFailShare float64
-	// Grey is the share of all servers that fail 0.4 of their answers from GreyAt on, Slow
-	// the share that is four times slower.
+	// GreyShare is the share of all servers that fail 0.4 of their answers from FaultsAt on,
+	// SlowShare the share that is four times slower.
 	GreyShare, SlowShare float64
 	FaultsAt             time.Duration
-	// Crash is the share of all servers that end at CrashAt, and are back two seconds later
-	// as others.
+	// CrashShare is the share of all servers that end at CrashAt; new servers replace them two
+	// seconds later.
 	CrashShare float64
 	CrashAt    time.Duration
 	Burst      *Burst
 	Bounds     rollout.Bounds
 }
 
-// routes of the rig: requests of the last may not be repeated.
+// rolloutRoutes are the routes of the simulated service. Requests of the last may not be
+// repeated.
 var rolloutRoutes = []struct {
 	name        string
 	share       float64
@@ -69,7 +70,7 @@
 	Requests int // requests sent to the service from the order to its deadline
 	Exposed  int // of them, those sent to the new version
 	// Bad counts the new version's bad answers until the verdict; Late the requests sent to
-	// a bad version later than lateAfter behind its fiftieth bad answer.
+	// a bad version later than maxReactionTime after its fiftieth bad answer.
 	Bad, Late int
 	// Lost are runs that ended with the old servers and may not be repeated.
 	Lost int
@@ -89,8 +90,8 @@
 	greyFailShare   = 0.4
 	slowFactor      = 4
 	loadedFrom      = 0.8 // of the slots
-	// speedSpread is how far servers' speeds lie from the middle, as a logarithm: the
-	// fastest is 2.8 times as fast as the slowest.
+	// maxLogSpeed bounds the logarithm of a server's speed relative to the median: the
+	// fastest server is 2.8 times as fast as the slowest.
 	maxLogSpeed = 0.52
 )
 
@@ -105,7 +106,7 @@
 	stopped    bool
 }
 
-// rolloutDay is one play.
+// rolloutSimulation is one run of a Rollout.
 type rolloutSimulation struct {
 	r          *Rollout
 	scheduler  *sched.Scheduler
@@ -129,7 +130,7 @@
 	ended  bool
 }
 
-// PlayRollout plays a roll-out; the same seed gives the same one.
+// SimulateRollout simulates a roll-out; the same seed gives the same result.
 func SimulateRollout(r *Rollout, seed uint64) RolloutResult {
 	sim := &rolloutSimulation{
 		r: r, scheduler: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
@@ -195,7 +196,7 @@
 	sim.scheduler.SetServers(now, list)
 }
 
-// order starts the new servers, gives the order, and has it taken up a moment later.
+// giveOrder starts the new servers and gives the order; the trial starts shortly afterwards.
 func (sim *rolloutSimulation) giveOrder(now time.Duration) {
 	for range sim.r.Servers {
 		sim.startServer(true)
@@ -213,7 +214,7 @@
 	}
 }
 
-// sorted lists the servers in the order of their start.
+// serversByStart lists the servers in the order of their start.
 func (sim *rolloutSimulation) serversByStart() []*rolloutServer {
 	out := make([]*rolloutServer, sim.started)
 	for _, srv := range sim.servers {
@@ -242,7 +243,7 @@
 	}
 }
 
-// stop ends a server with what it runs; its entry lapses later.
+// stopServer ends a server and its requests; its entry in the server list expires later.
 func (sim *rolloutSimulation) stopServer(now time.Duration, srv *rolloutServer, outcome sched.Result) {
 	srv.stopped = true
 	for id, req := range sim.open {
@@ -267,7 +268,7 @@
 	}
 }
 
-// news takes the steps of the roll-out.
+// processSteps reads the steps of the roll-out from the scheduler.
 func (sim *rolloutSimulation) processSteps(now time.Duration) {
 	for _, step := range sim.scheduler.TakeRolloutSteps() {
 		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
@@ -283,7 +284,7 @@
 	}
 }
 
-// written has the platform do what follows from the state.
+// applyDecision has the platform act on the roll-out's state once it is in the store.
 func (sim *rolloutSimulation) applyDecision(now time.Duration) {
 	for _, srv := range sim.serversByStart() {
 		switch {
@@ -339,7 +340,7 @@
 	}
 }
 
-// sent runs a request at its server.
+// execute runs a request at its server.
 func (sim *rolloutSimulation) execute(now time.Duration, id uint64, req *rolloutRequest) {
 	srv := req.server
 	if now >= orderAt && now < sim.deadline() {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -19,8 +19,8 @@
 	// maxRolloutRetry is the longest delay after failed calls, so that an outage of the store
 	// of a few seconds costs few calls.
 	maxRolloutRetry = 2 * time.Second
-	// minWishInterval is the shortest time between two reads of operators' wishes (to pause,
-	// resume or take back a rollout). wishIntervalShare is that time as a fraction of the
+	// minWishInterval is the shortest time between two reads of operators' commands (to
+	// pause, resume or take back a rollout). wishIntervalShare is that time as a fraction of the
 	// rollout's duration, so that each rollout takes a handful of calls.
 	minWishInterval   = 3 * time.Second
 	wishIntervalShare = 0.15
@@ -271,7 +271,7 @@
 	}
 }
 
-// readWishes passes operators' wishes to the scheduler while trials run.
+// readWishes passes operators' commands to the scheduler while trials run.
 func (r *rollouts) readWishes(ctx context.Context) {
 	shortestTrial := r.shortestTrial()
 	if shortestTrial == 0 || time.Since(r.wishesRead) < max(minWishInterval, time.Duration(wishIntervalShare*float64(shortestTrial))) {
