--- a/cmd/gentianctl/explain.go
+++ b/cmd/gentianctl/explain.go
@@ -58,7 +58,7 @@
 			return nil, failure.Wrap(failure.BadRequest, err, "open a log file")
 		}
 		lines, err := explain.Read(io.Reader(f))
-		_ = f.Close() // only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/gentianctl/quarantine.go
+++ b/cmd/gentianctl/quarantine.go
@@ -15,8 +15,8 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// quarantineCommand shows and releases requests that are kept from servers because
-// servers ended while they ran them.
+// quarantineCommand lists and releases quarantined requests: those that are not
+// run because servers ended while running them.
 func quarantineCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
 	return &cli.Command{
--- a/cmd/gentianctl/rollout.go
+++ b/cmd/gentianctl/rollout.go
@@ -13,7 +13,8 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// rolloutCommand shows the roll-outs of services' new versions, and holds or ends one.
+// rolloutCommand lists the roll-outs of new service versions and pauses, resumes or
+// rolls back one.
 func rolloutCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
 	newCommand := func(name, usage string, cmd rollout.Command) *cli.Command {
--- a/cmd/gentianlab/load.go
+++ b/cmd/gentianlab/load.go
@@ -25,9 +25,9 @@
 	readyTimeout   = 10 * time.Second
 )
 
-// loader sends the load. mu guards addresses and report.
+// loader sends a load to the entry hosts. mu guards addresses and report.
 type loader struct {
-	lookupAddresses []string // look-up addresses
+	lookupAddresses []string // where hosts serve look-ups
 	caller          *standin.Caller
 	load            lab.Load
 	mu              sync.Mutex
@@ -61,8 +61,8 @@
 	return l.finish(cmd.String("report"))
 }
 
-// finish prints the results of the load. It fails if an answer was complete but not the
-// server's.
+// finish prints the report and writes it to path unless that is empty. It returns
+// an error if any answer was complete but differed from what the server sent.
 func (l *loader) finish(path string) error {
 	l.report.Print(os.Stdout)
 	var err error
@@ -79,7 +79,7 @@
 	return err
 }
 
-// compareReports prints two reports beside each other, and plots them.
+// compareReports prints two reports side by side and plots them if asked to.
 func compareReports(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
 		return failure.New(failure.BadRequest, "compare needs two reports written by `gentianlab load --report`")
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// readLookupAddresses reads the look-up addresses in the settings files.
+// readLookupAddresses reads the hosts' look-up addresses from the settings files in
+// dir.
 func (l *loader) readLookupAddresses(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.conf"))
 	if err != nil {
@@ -130,7 +131,8 @@
 	return l.addresses
 }
 
-// lookup asks up to three hosts which addresses to use.
+// lookup updates the entry addresses from the first of up to three random hosts
+// that answers.
 func (l *loader) lookup() {
 	client := http.Client{Timeout: time.Second}
 	for _, i := range rand.Perm(len(l.lookupAddresses))[:min(3, len(l.lookupAddresses))] {
@@ -142,7 +144,7 @@
 			Addresses []string `json:"addresses"`
 		}
 		err = json.NewDecoder(resp.Body).Decode(&body)
-		_ = resp.Body.Close() // read, or of no use
+		_ = resp.Body.Close() // the body is decoded or discarded
 		if err == nil && len(body.Addresses) > 0 {
 			l.mu.Lock()
 			l.addresses = body.Addresses
@@ -152,7 +154,7 @@
 	}
 }
 
-// run sends each request at its time, looking up hosts as callers do.
+// run sends each request at its time and repeats the look-up as callers do.
 func (l *loader) run(ctx context.Context, requests []lab.Request) {
 	var calls sync.WaitGroup
 	start := time.Now()
@@ -191,7 +193,8 @@
 	l.report.Add(request, end, latency)
 }
 
-// classify returns how a request ended for its caller.
+// classify returns how a request ended for its caller, and its latency: until the
+// first byte for requests with a prompt, until the whole answer for others.
 func classify(kind lab.Kind, call standin.Call, reply standin.Reply) (lab.End, time.Duration) {
 	latency := reply.Duration
 	if call.Prompt > 0 {
--- a/cmd/gentianlab/platform.go
+++ b/cmd/gentianlab/platform.go
@@ -12,7 +12,7 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
-// The stand-in's places and ports.
+// The port of the store, and the capacity and timing of the backend servers.
 const (
 	storePort     = 8225
 	serverSlots   = 8
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -15,39 +15,40 @@
 const (
 	service = "engines"
 	holder  = 1
-	// tickInterval is the time between two ticks of the scheduler, messageDelay the time
-	// that a message takes between caller, holder and server.
+	// tickInterval is how often the scheduler's Tick is called, messageDelay the delay of a message
+	// between caller, holder and server.
 	tickInterval = 10 * time.Millisecond
 	messageDelay = 2 * time.Millisecond
-	// maxRetryAfterShare limits the Retry-After that a caller follows, as a fraction of its
-	// time left.
+	// maxRetryAfterShare is the largest fraction of its remaining time that a caller
+	// waits before a retry, whatever Retry-After says.
 	maxRetryAfterShare = 1.0 / 3
 )
 
-// Outcome counts what came of the requests of a kind.
+// Outcome counts the requests of a kind by how they ended.
 type Outcome struct {
-	Asked int
-	// OnTime had their first event in time and no pause over what is on time, Late
-	// were whole but had not.
+	Asked int // all requests
+	// OnTime requests met the latency target of the first event and the limit of pauses
+	// between events. Late requests were answered in full, but missed one of them.
 	OnTime, Late int
-	// Refused were told that they did not run, twice; Left gave up waiting; Cut ran
-	// out of time.
+	// Refused requests were refused twice, Left ones ended by the caller timeout before
+	// they were placed, Cut ones ran past their deadline.
 	Refused, Left, Cut int
-	// Paused are those of Late whose first event was in time.
+	// Paused counts the Late requests whose first event was in time.
 	Paused int
-	// sizes are those of all requests, whole those of the whole answers: tokens read and
-	// ten times those generated, as both take an engine's time.
+	// sizes are the sizes of all requests, answeredSizes those of the requests that were
+	// answered in full. A size is the number of prompt tokens plus ten times the number of
+	// output tokens, in proportion to the engine time that they take.
 	sizes, answeredSizes []float64
 }
 
-// Served is the share of whole answers.
+// Served returns the share of requests that were answered in full.
 func (o Outcome) Served() float64 { return share(o.OnTime+o.Late, o.Asked) }
 
-// LargestServed is the share of whole answers among the largest tenth.
+// LargestServed returns the share of the largest tenth of the requests that were answered in full.
 func (o Outcome) LargestServed() float64 { return o.ServedBySize(0.9, 1) }
 
-// ServedBySize is the share of whole answers among the requests between two parts of them in
-// order of size: 0.9 and 1 for the largest tenth.
+// ServedBySize returns the share answered in full of the requests between two quantiles of size:
+// 0.9 and 1 for the largest tenth.
 func (o Outcome) ServedBySize(from, to float64) float64 {
 	if len(o.sizes) == 0 {
 		return 1
@@ -68,7 +69,7 @@
 	return share(count(o.answeredSizes), count(o.sizes))
 }
 
-// InTime is the share that was on time.
+// InTime returns the share of requests that were on time.
 func (o Outcome) InTime() float64 { return share(o.OnTime, o.Asked) }
 
 func share(n, of int) float64 {
@@ -78,39 +79,39 @@
 	return float64(n) / float64(of)
 }
 
-// request is a caller's request over its attempts.
+// request is a caller's request with its attempts.
 type request struct {
 	kind        int
 	prompt      int
-	output      int // real
-	hint        int // expected
+	output      int // tokens that are generated
+	hint        int // output tokens expected by the caller
 	submittedAt time.Duration
-	retried     bool // this is the caller's second attempt
+	retried     bool // the caller has retried
 	placedAt    time.Duration
 	running     bool
-	firstEvent  time.Duration // since placed
-	lastEventAt time.Duration // event
-	maxPause    time.Duration // longest
+	firstEvent  time.Duration // from placement to the first event
+	lastEventAt time.Duration
+	maxPause    time.Duration // longest pause between events
 	eventCount  int
 }
 
 func (r *request) size() float64 { return float64(r.prompt + 10*r.output) }
 
-// simulation is one run of a load.
+// simulation is one run of a load in virtual time.
 type simulation struct {
 	load          *Load
 	scheduler     *sched.Scheduler
 	rng           *rand.Rand
 	eventQueue    eventQueue
 	engines       map[string]*engine.Engine
-	stepScheduled map[string]bool // a step's end is in the agenda
-	open          map[uint64]*request
+	stepScheduled map[string]bool     // by server: the end of its step is in the event queue
+	open          map[uint64]*request // by ID
 	lastID        uint64
 	seq           int
-	outcomes      []Outcome
+	outcomes      []Outcome // by kind
 }
 
-// Simulate runs a load with a policy; the same seed gives the same requests.
+// Simulate runs a load with a policy. The same seed gives the same requests.
 func Simulate(l *Load, p sched.Policy, seed uint64) []Outcome {
 	sim := &simulation{
 		load: l, scheduler: sched.New(p), rng: rand.New(rand.NewPCG(seed, 7)),
@@ -139,7 +140,7 @@
 	heap.Push(&sim.eventQueue, scheduledEvent{at, sim.seq, do})
 }
 
-// tickScheduler ticks the scheduler until all requests are answered.
+// tickScheduler calls the scheduler's Tick at intervals until all requests have ended.
 func (sim *simulation) tickScheduler(now time.Duration) {
 	sim.apply(now, sim.scheduler.Tick(now))
 	if now < sim.load.Length || len(sim.open) > 0 {
@@ -147,12 +148,12 @@
 	}
 }
 
-// lognormal draws a size from a lognormal distribution.
+// lognormal draws a number of tokens from a lognormal distribution, at most limit.
 func (sim *simulation) lognormal(median, sigma float64, limit int) int {
 	return min(limit, 1+int(median*math.Exp(sigma*sim.rng.NormFloat64())))
 }
 
-// arrive brings a new request and plans the next one.
+// arrive submits a new request and schedules the arrival of the next one.
 func (sim *simulation) arrive(now time.Duration) {
 	k := sim.drawKind()
 	kind := &sim.load.Kinds[k]
@@ -216,7 +217,7 @@
 	}
 }
 
-// retryOrRefuse handles a refusal: the caller retries once, after retryAfter.
+// retryOrRefuse has the caller retry once, after the delay that the scheduler stated.
 func (sim *simulation) retryOrRefuse(now time.Duration, r *request, retryAfter time.Duration) {
 	left := r.submittedAt + sim.load.Kinds[r.kind].Deadline - now
 	if r.retried || left <= 0 {
@@ -227,7 +228,7 @@
 	sim.schedule(now+min(retryAfter, time.Duration(maxRetryAfterShare*float64(left))), func(now time.Duration) { sim.submit(now, r) })
 }
 
-// callerTimeout ends a request that has waited for longer than its caller does.
+// callerTimeout withdraws a request that was not placed before its caller gave up.
 func (sim *simulation) callerTimeout(now time.Duration, id uint64) {
 	r := sim.open[id]
 	if r == nil || r.running {
@@ -238,7 +239,7 @@
 	sim.apply(now, sim.scheduler.Withdraw(now, sched.Key{Holder: holder, ID: id}))
 }
 
-// scheduleStep schedules the end of the step in progress at a server.
+// scheduleStep schedules the end of the server's step in progress.
 func (sim *simulation) scheduleStep(server string) {
 	at, busy := sim.engines[server].StepEnd()
 	if !busy || sim.stepScheduled[server] {
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -17,44 +17,44 @@
 
 // BadVersion is how the servers of a version misbehave. The zero value is a sound version.
 type BadVersion struct {
-	FailShare  float64       // share of the answers that are failures
-	Slowdown   float64       // times as long, 0 or 1: as long as the others
-	BadAfter   time.Duration // since the order; sound before
-	OnlyLoaded bool          // only while most of a server's slots are taken
-	OnlyRoute  string        // only on this route
+	FailShare  float64       // share of the answers that fail
+	Slowdown   float64       // factor of the response time; 0 and 1: none
+	BadAfter   time.Duration // time since the order until which it behaves as a sound version
+	OnlyLoaded bool          // bad only while most of a server's slots are in use
+	OnlyRoute  string        // bad only on this route; empty: on all
 }
 
 func (b BadVersion) bad() bool { return b.FailShare > 0 || b.Slowdown > 1 }
 
-// Rollout is a play of one roll-out: a service with old and new servers, its requests, and
-// troubles that have nothing to do with the version.
+// Rollout describes the simulation of a roll-out: a service with old and new servers, its
+// requests, and faults that are independent of the version.
 type Rollout struct {
 	Name    string
 	Servers int // of each version
 	Slots   int
-	Rate    float64 // requests a second over all routes
-	Length  time.Duration
+	Rate    float64       // requests a second over all routes
+	Length  time.Duration // time from the order to its deadline
 	Version BadVersion
-	// FirstRouteFailShare is the share of answers that fail on the first route at any server.
+	// FirstRouteFailShare is the share of answers on the first route that fail on all servers.
 	FirstRouteFailShare float64
-	// GreyShare is the share of all servers that fail 0.4 of their answers from FaultsAt on,
-	// SlowShare the share that is four times slower.
+	// From FaultsAt after the order, GreyShare of all servers fail 0.4 of their answers, and
+	// SlowShare of them are four times slower.
 	GreyShare, SlowShare float64
 	FaultsAt             time.Duration
-	// CrashShare is the share of all servers that end at CrashAt; new servers replace them two
-	// seconds later.
+	// CrashShare is the share of all servers that crash at CrashAt after the order. New
+	// servers replace them two seconds later.
 	CrashShare float64
 	CrashAt    time.Duration
 	Burst      *Burst
 	Bounds     rollout.Bounds
 }
 
-// rolloutRoutes are the routes of the simulated service. Requests of the last may not be
+// rolloutRoutes are the routes of the simulated service. Requests on the last one must not be
 // repeated.
 var rolloutRoutes = []struct {
 	name        string
 	share       float64
-	serviceTime time.Duration
+	serviceTime time.Duration // typical response time without load
 	repeatable  bool
 }{
 	{"check", 0.3, 25 * time.Millisecond, true},
@@ -62,51 +62,55 @@
 	{"confirm", 0.6, 30 * time.Millisecond, false},
 }
 
-// RolloutResult is how one roll-out went.
+// RolloutResult is the result of one simulated roll-out.
 type RolloutResult struct {
 	State    rollout.State
-	Took     time.Duration // when it ended, since the order
+	Took     time.Duration // time from the order to the decision
 	Reason   string
-	Requests int // requests sent to the service from the order to its deadline
-	Exposed  int // of them, those sent to the new version
-	// Bad counts the new version's bad answers until the verdict; Late the requests sent to
-	// a bad version later than maxReactionTime after its fiftieth bad answer.
+	Requests int // requests sent to servers from the order to its deadline
+	Exposed  int // of them, requests sent to the new version
+	// Bad counts the new version's bad answers before the decision, Late the requests sent to
+	// a bad version more than maxReactionTime after its fiftieth bad answer.
 	Bad, Late int
-	// Lost are runs that ended with the old servers and may not be repeated.
+	// Lost counts the requests that the stop of the old servers cut off and that must not be
+	// repeated.
 	Lost int
 }
 
-// Exposure is what the new version got, as a part of what a bad one may get.
+// Exposure returns the number of requests that the new version got as a fraction of the number
+// that the bounds allow for a bad version.
 func (r RolloutResult) Exposure(b rollout.Bounds) float64 {
 	return float64(r.Exposed) / (b.Share*float64(r.Requests) + b.Slack)
 }
 
 const (
-	// orderAt is when the order comes, after the service has run for a while.
-	orderAt         = 3 * time.Second
+	// orderAt is the time of the order, after the service has run for a while.
+	orderAt = 3 * time.Second
+	// A bad version must get no requests maxReactionTime after its badAnswerLimit-th bad
+	// answer.
 	maxReactionTime = 2500 * time.Millisecond
 	badAnswerLimit  = 50
 	storeWriteTime  = 20 * time.Millisecond
 	greyFailShare   = 0.4
 	slowFactor      = 4
-	loadedFrom      = 0.8 // of the slots
-	// maxLogSpeed bounds the logarithm of a server's speed relative to the median: the
+	loadedFrom      = 0.8 // share of the slots in use
+	// maxLogSpeed limits the logarithm of a server's speed on both sides of the mean: the
 	// fastest server is 2.8 times as fast as the slowest.
 	maxLogSpeed = 0.52
 )
 
-// rolloutServer is a server of the rig.
+// rolloutServer is a simulated server.
 type rolloutServer struct {
 	spec       sched.Server
 	isNew      bool
-	timeFactor float64
+	timeFactor float64 // factor of response times; above 1 is slower
 	running    int
 	grey       bool
 	slow       bool
 	stopped    bool
 }
 
-// rolloutSimulation is one run of a Rollout.
+// rolloutSimulation is one run of a roll-out in virtual time.
 type rolloutSimulation struct {
 	r          *Rollout
 	scheduler  *sched.Scheduler
@@ -118,19 +122,20 @@
 	lastID     uint64
 	started    int
 	badAnswers int
-	badLimitAt time.Duration // when the fiftieth bad answer came
-	decided    bool
+	badLimitAt time.Duration // time of the badAnswerLimit-th bad answer; 0 before
+	decided    bool          // the roll-out was completed or rolled back
 	result     RolloutResult
 }
 
+// rolloutRequest is a request of the simulation.
 type rolloutRequest struct {
 	route  int
 	server *rolloutServer
-	bad    bool
-	ended  bool
+	bad    bool // failed or slow because of the new version
+	ended  bool // answered or cut off
 }
 
-// SimulateRollout simulates a roll-out; the same seed gives the same result.
+// SimulateRollout simulates a roll-out. The same seed gives the same result.
 func SimulateRollout(r *Rollout, seed uint64) RolloutResult {
 	sim := &rolloutSimulation{
 		r: r, scheduler: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
@@ -161,7 +166,7 @@
 	return sim.result
 }
 
-// end is when the play ends: a while after the deadline.
+// end returns the time at which the simulation ends, a while after the deadline.
 func (sim *rolloutSimulation) end() time.Duration { return orderAt + sim.r.Length + 5*time.Second }
 
 func (sim *rolloutSimulation) deadline() time.Duration { return orderAt + sim.r.Length }
@@ -196,7 +201,7 @@
 	sim.scheduler.SetServers(now, list)
 }
 
-// giveOrder starts the new servers and gives the order; the trial starts shortly afterwards.
+// giveOrder starts the new servers, gives the order, and starts its trial a moment later.
 func (sim *rolloutSimulation) giveOrder(now time.Duration) {
 	for range sim.r.Servers {
 		sim.startServer(true)
@@ -214,13 +219,13 @@
 	}
 }
 
-// serversByStart lists the servers in the order of their start.
+// serversByStart returns the servers in the order of their start.
 func (sim *rolloutSimulation) serversByStart() []*rolloutServer {
 	out := make([]*rolloutServer, sim.started)
 	for _, srv := range sim.servers {
 		var n int
 		if _, err := fmt.Sscanf(srv.spec.ID[3:], "%d", &n); err != nil {
-			panic(err) // ids of this rig end with their number
+			panic(err) // the IDs of simulated servers end with a number
 		}
 		out[n-1] = srv
 	}
@@ -243,7 +248,8 @@
 	}
 }
 
-// stopServer ends a server and its requests; its entry in the server list expires later.
+// stopServer stops a server and ends its requests with the given outcome. It stays listed until
+// its registration expires.
 func (sim *rolloutSimulation) stopServer(now time.Duration, srv *rolloutServer, outcome sched.Result) {
 	srv.stopped = true
 	for id, req := range sim.open {
@@ -268,7 +274,7 @@
 	}
 }
 
-// processSteps reads the steps of the roll-out from the scheduler.
+// processSteps handles the decisions of the roll-out.
 func (sim *rolloutSimulation) processSteps(now time.Duration) {
 	for _, step := range sim.scheduler.TakeRolloutSteps() {
 		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
@@ -284,7 +290,8 @@
 	}
 }
 
-// applyDecision has the platform act on the roll-out's state once it is in the store.
+// applyDecision stops the old servers or drains the new ones, as the platform does once the
+// decision is in the store.
 func (sim *rolloutSimulation) applyDecision(now time.Duration) {
 	for _, srv := range sim.serversByStart() {
 		switch {
@@ -340,7 +347,7 @@
 	}
 }
 
-// execute runs a request at its server.
+// execute runs a request on its server.
 func (sim *rolloutSimulation) execute(now time.Duration, id uint64, req *rolloutRequest) {
 	srv := req.server
 	if now >= orderAt && now < sim.deadline() {
@@ -399,10 +406,10 @@
 	sim.processSteps(now)
 }
 
-// Rollouts lists roll-outs by name: sound versions, alone and with troubles that both
-// versions have, and versions that are bad in each way.
+// Rollouts returns all roll-outs, sorted by name: sound versions, with and without faults that
+// affect both versions, and versions with each kind of defect.
 func Rollouts() []*Rollout {
-	// Three plain servers at a few hundred calls a second, and thirty at some thousand.
+	// Three plain servers at 250 calls a second, and thirty at 2,000.
 	few := Rollout{Servers: 3, Slots: 6, Rate: 250, Length: 12 * time.Second, Bounds: rollout.Bounds{Share: 0.1, Slack: 50}}
 	many := few
 	many.Servers, many.Rate = 30, 2000
@@ -439,17 +446,17 @@
 	return out
 }
 
-// RolloutSummary summarizes many simulations of one roll-out.
+// RolloutSum summarizes many runs of one roll-out.
 type RolloutSummary struct {
 	Runs                           int
 	Completed, RolledBack, Running int
-	MedianExposure, MaxExposure    float64 // as fractions of the allowed exposure
-	MedianDuration                 time.Duration
-	MaxBadAnswers                  int // bad answers before a verdict
+	MedianExposure, MaxExposure    float64       // median and maximum of RolloutResult.Exposure
+	MedianDuration                 time.Duration // median time from the order to the decision
+	MaxBadAnswers                  int           // maximum number of bad answers before the decision
 	Late, Lost                     int
 }
 
-// SimulateRollouts simulates a roll-out with many seeds, on all processors.
+// SumRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
 func SimulateRollouts(r *Rollout, seeds int) RolloutSummary {
 	results := make([]RolloutResult, seeds)
 	var running sync.WaitGroup
