--- a/internal/sched/ask_test.go
+++ b/internal/sched/ask_test.go
@@ -6,9 +6,9 @@
 )
 
 var _ = Describe("a request that is submitted again", func() {
-	// A holder that lost its connection to the home submits again under the same number, while the home
-	// still has the first submission, waiting or placed. If both were counted, the server would never get
-	// the first one's slot back.
+	// A holder that lost its connection to the home submits a request again under the same ID, while the
+	// home still has the first submission, waiting or placed. If both were counted, the first one's slot
+	// would never be freed.
 	It("replaces the one that was placed", func() {
 		s := twoSlotScheduler()
 		_, waits := s.Submit(0, plainRequest(1))
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// BenchmarkBlockedLane measures the same while a thousand requests of a less urgent priority wait for
-// the quota of their account: each search for a request to place passes them.
+// BenchmarkBlockedLane measures submitting, placing and finishing one request while a thousand requests
+// of a less urgent priority wait for the quota of their account: each search for a request to place
+// passes them.
 func BenchmarkBlockedLane(b *testing.B) {
 	s := newScheduler(90, 6)
 	s.SetAccounts(0, []Account{{Name: "hot", Rate: 1, Burst: 1}})
--- a/internal/sched/bucket.go
+++ b/internal/sched/bucket.go
@@ -36,7 +36,7 @@
 }
 
 // wait is the time until the bucket can provide units. A request larger than the whole bucket
-// passes when the bucket is full, and leaves a debt.
+// passes when the bucket is full, and leaves a negative level, the debt.
 func (b *bucket) wait(now Time, units float64) time.Duration {
 	b.refill(now)
 	missing := min(units, b.burst) - b.level
@@ -73,8 +73,8 @@
 	b.level = min(b.burst, b.level+units)
 }
 
-// resize sets another rate and burst. The level never grows by it, so a change back and forth
-// gives nothing away.
+// resize sets another rate and burst. It never raises the level, so a change back and forth
+// grants no extra units.
 func (b *bucket) resize(now Time, rate, burst float64) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -3,7 +3,7 @@
 // prefixCache estimates the prompt parts that a server has cached, from the requests placed
 // there: the most recently used ones that fit in its memory.
 type prefixCache struct {
-	capacity int // tokens, 0 when not known
+	capacity int // tokens, 0 if unknown
 	tokens   int
 	parts    map[uint64]*cachedPart
 }
@@ -36,13 +36,13 @@
 		c.parts = map[uint64]*cachedPart{}
 	}
 	for _, p := range parts {
-		have := c.parts[p.Key]
-		if have == nil {
-			have = &cachedPart{tokens: p.Tokens}
-			c.parts[p.Key] = have
+		part := c.parts[p.Key]
+		if part == nil {
+			part = &cachedPart{tokens: p.Tokens}
+			c.parts[p.Key] = part
 			c.tokens += p.Tokens
 		}
-		have.used = now
+		part.used = now
 	}
 	for len(c.parts) > maxCachedParts || c.capacity > 0 && c.tokens > c.capacity {
 		c.evict()
--- a/internal/sched/fatal_load_test.go
+++ b/internal/sched/fatal_load_test.go
@@ -13,65 +13,68 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
-// The load contains requests that end each engine that starts to run them: nine engines of
-// eight slots, ordinary streams that fill half of the slots, and a few fatal requests that
-// arrive repeatedly at any host, also while earlier copies wait. An engine that has ended
+// The load on nine engines of eight slots consists of ordinary streams that fill half of the
+// slots and of a few poison requests, which end each engine that starts to run them and arrive
+// repeatedly at any host, also while earlier copies wait. An engine that has ended
 // refuses connections, stays listed for a while and is replaced after seconds, like an engine
 // that a supervisor restarts. A caller whose answer was cut off retries once, under a new ID.
 const (
-	fatalEngines      = 9
-	ordinaryRate      = 20 // per second
-	fatalRate         = 6  // per second for each fatal request
-	fatalLoadDuration = 20 * time.Second
-	listedAfterEnd    = 3600 * ms // after the engine's end
-	restartDelay      = 3 * time.Second
-	maxFatalDelay     = 400 * ms // from the placement to the engine's end
-	// A request that has ended three servers may be sent up to maxLateSends times later than
-	// detectionTime after the third end: its detection may need that many ends.
+	poisonLoadEngines  = 9
+	ordinaryRate       = 20 // per second
+	poisonRate         = 6  // per second for each poison request
+	poisonLoadDuration = 20 * time.Second
+	listedAfterEnd     = 3600 * ms // after the engine's end
+	restartDelay       = 3 * time.Second
+	maxPoisonDelay     = 400 * ms // from the placement to the engine's end
+	// After a request has ended three servers, detectionTime is the time until it must be
+	// detected; maxLateSends is how often it may still be sent later than that, as its detection
+	// may need that many more ends.
 	detectionTime = 3 * time.Second
 	maxLateSends  = 3
 )
 
-type fatalLoadDriver struct {
+// poisonLoadDriver plays the load against a scheduler on a simulated clock.
+type poisonLoadDriver struct {
 	s           *Scheduler
 	rng         *rand.Rand
-	agenda      eventQueue
+	events      eventQueue
 	next        uint64
 	engines     int
 	liveEngines map[string]bool
 	listed      []Server
-	inFlight    map[Key]*fatalRun
-	fatal       []*fatalRequest
+	inFlight    map[Key]*sentRequest
+	poison      []*poisonRequest
 
 	ordinary, served, lostTwice, wronglyRefused int
 }
 
-// fatalRequest is a request that ends engines.
-type fatalRequest struct {
+// poisonRequest is a request that ends each engine that runs it.
+type poisonRequest struct {
 	fingerprint        quarantine.Fingerprint
 	ends               []Time
 	sends              []Time
 	quarantineRefusals int
 }
 
-type fatalRun struct {
+// sentRequest is one attempt of a caller.
+type sentRequest struct {
 	Request
-	fatal   *fatalRequest // nil for an ordinary request
+	poison  *poisonRequest // nil for an ordinary request
 	isRetry bool
 	server  string
 	done    bool
 }
 
-func newFatalLoadDriver(seed uint64, fatal int) *fatalLoadDriver {
-	d := &fatalLoadDriver{
-		s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 7)), liveEngines: map[string]bool{}, inFlight: map[Key]*fatalRun{},
+func newPoisonLoadDriver(seed uint64, poison int) *poisonLoadDriver {
+	d := &poisonLoadDriver{
+		s: New(DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 7)), liveEngines: map[string]bool{}, inFlight: map[Key]*sentRequest{},
 	}
 	d.s.SetServices(0, []Service{{Name: engine, Engine: true, KVTokens: 200_000, Stride: 3}})
-	for range fatalEngines {
+	for range poisonLoadEngines {
 		d.startEngine(0)
 	}
-	for i := range fatal {
-		d.fatal = append(d.fatal, &fatalRequest{fingerprint: fingerprintOf(-1 - i)})
+	for i := range poison {
+		d.poison = append(d.poison, &poisonRequest{fingerprint: fingerprintOf(-1 - i)})
 	}
 	return d
 }
@@ -80,13 +83,13 @@
 	return quarantine.NewFingerprint("POST", "h", "/", "account", fmt.Append(nil, n))
 }
 
-func (d *fatalLoadDriver) at(t Time, do func(Time)) { heap.Push(&d.agenda, simEvent{t, do}) }
+func (d *poisonLoadDriver) at(t Time, do func(Time)) { heap.Push(&d.events, simEvent{t, do}) }
 
-func (d *fatalLoadDriver) randomBetween(lower, upper time.Duration) time.Duration {
+func (d *poisonLoadDriver) randomBetween(lower, upper time.Duration) time.Duration {
 	return lower + time.Duration(d.rng.Int64N(int64(upper-lower)))
 }
 
-func (d *fatalLoadDriver) startEngine(now Time) {
+func (d *poisonLoadDriver) startEngine(now Time) {
 	d.engines++
 	id := fmt.Sprintf("e%d", d.engines)
 	d.liveEngines[id] = true
@@ -95,7 +98,7 @@
 }
 
 // endEngine ends an engine and all its runs.
-func (d *fatalLoadDriver) endEngine(now Time, id string) {
+func (d *poisonLoadDriver) endEngine(now Time, id string) {
 	if !d.liveEngines[id] {
 		return
 	}
@@ -104,15 +107,15 @@
 		if r.server != id {
 			continue
 		}
-		if r.fatal != nil {
-			r.fatal.ends = append(r.fatal.ends, now)
+		if r.poison != nil {
+			r.poison.ends = append(r.poison.ends, now)
 		}
 		r.done = true
 		delete(d.inFlight, k)
 		d.at(now+d.randomBetween(2*ms, 20*ms), func(at Time) {
 			d.apply(at, d.s.Finish(at, Outcome{Key: k, Result: ServerEnded}))
 		})
-		if r.fatal == nil {
+		if r.poison == nil {
 			d.retryOnce(now, r)
 		}
 	}
@@ -123,7 +126,7 @@
 	d.at(now+restartDelay, d.startEngine)
 }
 
-func (d *fatalLoadDriver) retryOnce(now Time, r *fatalRun) {
+func (d *poisonLoadDriver) retryOnce(now Time, r *sentRequest) {
 	if r.isRetry {
 		d.lostTwice++
 		return
@@ -131,9 +134,9 @@
 	d.at(now+d.randomBetween(5*ms, 60*ms), func(at Time) { d.submit(at, r.Fingerprint, nil, true) })
 }
 
-func (d *fatalLoadDriver) submit(now Time, f quarantine.Fingerprint, fatal *fatalRequest, isRetry bool) {
+func (d *poisonLoadDriver) submit(now Time, f quarantine.Fingerprint, poison *poisonRequest, isRetry bool) {
 	d.next++
-	r := &fatalRun{fatal: fatal, isRetry: isRetry}
+	r := &sentRequest{poison: poison, isRetry: isRetry}
 	r.Key, r.Service, r.Fingerprint = Key{Holder: d.next % 7, ID: d.next}, engine, f
 	r.PromptTokens, r.OutputTokens = 500, 40+d.rng.IntN(300)
 	r.Arrived, r.LatencyTarget, r.Deadline = now, now+800*ms, now+8*time.Second
@@ -143,7 +146,7 @@
 }
 
 // apply carries out the scheduler's decisions.
-func (d *fatalLoadDriver) apply(now Time, out []Decision) {
+func (d *poisonLoadDriver) apply(now Time, out []Decision) {
 	for _, decision := range out {
 		r := d.inFlight[decision.Key]
 		switch {
@@ -154,35 +157,35 @@
 			d.finishRevoked(now, r)
 		default:
 			delete(d.inFlight, r.Key)
-			if decision.Reason == Quarantined && r.fatal == nil {
+			if decision.Reason == Quarantined && r.poison == nil {
 				d.wronglyRefused++
 			} else if decision.Reason == Quarantined {
-				r.fatal.quarantineRefusals++
+				r.poison.quarantineRefusals++
 			}
 		}
 	}
 }
 
-func (d *fatalLoadDriver) finishRevoked(now Time, r *fatalRun) {
+func (d *poisonLoadDriver) finishRevoked(now Time, r *sentRequest) {
 	r.done = true
 	delete(d.inFlight, r.Key)
 	d.at(now+3*ms, func(at Time) { d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: CallerLeft})) })
 }
 
-func (d *fatalLoadDriver) startRun(now Time, r *fatalRun, server string) {
+func (d *poisonLoadDriver) startRun(now Time, r *sentRequest, server string) {
 	r.server = server
 	if !d.liveEngines[server] {
 		r.server = ""
 		d.at(now+3*ms, func(at Time) {
 			d.apply(at, d.s.Finish(at, Outcome{Key: r.Key, Result: Unreachable}))
 			delete(d.inFlight, r.Key)
-			d.submit(at, r.Fingerprint, r.fatal, r.isRetry)
+			d.submit(at, r.Fingerprint, r.poison, r.isRetry)
 		})
 		return
 	}
-	if r.fatal != nil {
-		r.fatal.sends = append(r.fatal.sends, now)
-		d.at(now+d.randomBetween(60*ms, maxFatalDelay), func(at Time) {
+	if r.poison != nil {
+		r.poison.sends = append(r.poison.sends, now)
+		d.at(now+d.randomBetween(60*ms, maxPoisonDelay), func(at Time) {
 			if !r.done {
 				d.endEngine(at, server)
 			}
@@ -200,28 +203,28 @@
 	})
 }
 
-func (d *fatalLoadDriver) simulate() {
-	for t := Time(0); t < fatalLoadDuration; t += time.Second / ordinaryRate {
+func (d *poisonLoadDriver) simulate() {
+	for t := Time(0); t < poisonLoadDuration; t += time.Second / ordinaryRate {
 		d.at(t+d.randomBetween(0, 50*ms), func(at Time) {
 			d.ordinary++
 			d.submit(at, fingerprintOf(d.ordinary), nil, false)
 		})
 	}
-	for _, f := range d.fatal {
-		for t := 2 * time.Second; t < fatalLoadDuration; t += time.Second / fatalRate {
+	for _, f := range d.poison {
+		for t := 2 * time.Second; t < poisonLoadDuration; t += time.Second / poisonRate {
 			d.at(t+d.randomBetween(0, 160*ms), func(at Time) { d.submit(at, f.fingerprint, f, false) })
 		}
 	}
-	for t := Time(0); t < fatalLoadDuration+10*time.Second; t += 10 * ms {
+	for t := Time(0); t < poisonLoadDuration+10*time.Second; t += 10 * ms {
 		d.at(t, func(at Time) { d.apply(at, d.s.Tick(at)) })
 	}
-	for len(d.agenda) > 0 {
-		next := heap.Pop(&d.agenda).(simEvent)
+	for len(d.events) > 0 {
+		next := heap.Pop(&d.events).(simEvent)
 		next.do(next.at)
 	}
 }
 
-func (f *fatalRequest) lateSends() (n int) {
+func (f *poisonRequest) lateSends() (n int) {
 	if len(f.ends) < 3 {
 		return 0
 	}
@@ -234,15 +237,15 @@
 }
 
 var _ = Describe("requests that end the engines that run them", func() {
-	// A review request crashes each engine that starts to run it, with up to seven other runs.
-	// It is retried at other hosts, several copies at once, so that engine after engine ended
-	// and other callers lost their answers twice.
+	// A poison request crashes each engine that starts to run it, with up to seven other runs.
+	// It is retried at other hosts, several copies at once. Without quarantine, engine after
+	// engine ended and other callers lost their answers twice.
 	DescribeTable("are kept from further engines, and no other requests are",
-		func(fatal int) {
+		func(poison int) {
 			for seed := range uint64(20) {
-				d := newFatalLoadDriver(seed, fatal)
+				d := newPoisonLoadDriver(seed, poison)
 				d.simulate()
-				for _, f := range d.fatal {
+				for _, f := range d.poison {
 					Expect(f.lateSends()).To(BeNumerically("<=", maxLateSends), "seed %d: %d sends, %d ends", seed, len(f.sends), len(f.ends))
 					Expect(f.quarantineRefusals).To(BeNumerically(">", 0), "seed %d", seed)
 				}
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -21,8 +21,8 @@
 }
 
 // requirementsOf determines which requirements r can have at all: those that the fastest
-// usable server would meet with nothing else to do. What is out of reach even there is not
-// required of any server.
+// usable server would meet without other load. A condition that this server cannot meet is
+// not required of any server.
 func (s *Scheduler) requirementsOf(now Time, svc *service, fastest *server, r *Request) requirements {
 	if fastest != nil && !fastest.eligible(now, r) {
 		fastest = svc.fastest(now, r)
@@ -73,9 +73,9 @@
 	return float64(remaining) / (svc.prefillRatio * float64(s.tokenTime))
 }
 
-// candidates are the servers with room, and the best that any of them can provide. With
-// thousands of waiting requests and engines that suit none of them, the best shows this
-// without a look at each engine.
+// candidates are the servers with room, the fastest of them and the largest prefill headroom
+// among them. When thousands of requests wait and no engine suits them, these two bounds
+// show it without a check of each engine for each request.
 type candidates struct {
 	fastestUsable   *server // of all usable servers, with or without room
 	free            []*server
@@ -92,8 +92,8 @@
 // contended reports whether other requests wait for the only free slot.
 //
 // In a burst the longest answers reach the head of the queue last, when they can no longer
-// end before their callers give up. Each would occupy a slot for seconds in vain while other
-// requests are refused for want of one.
+// end before their callers give up. Each would occupy a slot for seconds to no
+// effect while other requests are refused for want of one.
 func (c *candidates) contended(svc *service) bool { return len(c.free) == 1 && svc.queue.size > 1 }
 
 func (c *candidates) update(now Time, svc *service) {
@@ -115,7 +115,8 @@
 	c.update(now, svc)
 }
 
-// satisfiable reports whether a candidate may meet the requirements of r, or r takes any.
+// satisfiable reports whether a candidate may meet the requirements of r, or r accepts any
+// server.
 func (reqs requirements) satisfiable(now Time, svc *service, c *candidates, r *Request) bool {
 	if !reqs.worthWaiting || c.fastestFree == nil {
 		return true
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -39,14 +39,14 @@
 // waited before the minimum share applies to it. In a short burst the priority order stays strict.
 const minShareWaitFraction = 0.25
 
-// minShareRetryInterval is how long a priority queue is skipped after none of its requests could
-// be placed: thousands may wait there for their accounts' quotas, and slots open hundreds of times
-// a second.
+// minShareRetryInterval is how long fillUnderserved skips a priority queue after none of its
+// requests could be placed: thousands may wait there for their accounts' quotas, and slots open
+// hundreds of times a second.
 const minShareRetryInterval = 20 * time.Millisecond
 
 // fillUnderserved places requests of the priorities that have had less than their minimum share of
-// the servers' time, before all others. It places only requests that have waited and can meet their
-// latency target.
+// the servers' time, before all others. It places only requests that have waited for a while and can
+// still meet their latency target.
 //
 // With strict priority order the last priority gets nothing through a long overload: its callers are
 // refused twice and give up, although its whole work is a tenth of what the priorities before it take.
--- a/internal/sched/handover_test.go
+++ b/internal/sched/handover_test.go
@@ -10,10 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A plain service of 6 servers with 6 slots and calls of 60 ms on average, at a rate for ten seconds
-// that the servers can just serve when none of their slots is ever idle. Hosts and servers are spread
-// over five availability zones: a placement takes 5 ms to reach the server, and the report of a call's
-// end takes 5 ms back.
+// The load is ten seconds of plain calls of 60 ms on average, to 6 servers with 6 slots each, at a rate
+// that they can just serve if no slot is ever idle. Hosts and servers are spread over five availability
+// zones: a placement takes 5 ms to reach the server, and the report of a call's end takes 5 ms back.
 const (
 	plainServers = 6
 	plainSlots   = 6
@@ -26,7 +25,7 @@
 
 // plainServer runs calls in order of arrival.
 type plainServer struct {
-	busy    int
+	busy    int // slots in use
 	waiting []func(now Time)
 }
 
@@ -83,24 +82,24 @@
 
 // begin delivers a call to its server.
 func (d *plainSimulation) begin(now Time, o Decision) {
-	c := d.servers[o.Server]
+	srv := d.servers[o.Server]
 	work := func(start Time) {
-		c.busy++
+		srv.busy++
 		d.at(start+time.Duration(float64(meanCallTime)*(0.5+d.rng.Float64())), func(end Time) { d.end(end, now, o) })
 	}
-	if c.busy == plainSlots {
-		c.waiting = append(c.waiting, work)
+	if srv.busy == plainSlots {
+		srv.waiting = append(srv.waiting, work)
 		return
 	}
 	work(now)
 }
 
 func (d *plainSimulation) end(now, sent Time, o Decision) {
-	c := d.servers[o.Server]
-	c.busy--
-	if len(c.waiting) > 0 {
-		next := c.waiting[0]
-		c.waiting = c.waiting[1:]
+	srv := d.servers[o.Server]
+	srv.busy--
+	if len(srv.waiting) > 0 {
+		next := srv.waiting[0]
+		srv.waiting = srv.waiting[1:]
 		next(now)
 	}
 	d.served++
@@ -118,15 +117,15 @@
 		d.at(t, func(now Time) { d.apply(now, d.s.Tick(now)) })
 	}
 	for d.events.Len() > 0 {
-		h := heap.Pop(&d.events).(simEvent)
-		h.do(h.at)
+		next := heap.Pop(&d.events).(simEvent)
+		next.do(next.at)
 	}
 }
 
 var _ = Describe("plain calls in a burst", func() {
-	// Callers are refused for want of a server while each server is idle for a seventh of its time: a slot
-	// is free at the home only when the report of the last call's end has arrived, and busy at the server
-	// only when the next call has.
+	// Callers are refused for want of a server while each server is idle for a seventh of its time: the home
+	// learns that a slot is free only when the report of the last call's end arrives, and the slot stays
+	// idle until the next call reaches the server.
 	It("keep the slots busy during handovers", func() {
 		with, without := newPlainSimulation(true), newPlainSimulation(false)
 		with.run()
--- a/internal/sched/inventory.go
+++ b/internal/sched/inventory.go
@@ -74,8 +74,8 @@
 	listed := map[string]bool{}
 	for _, spec := range list {
 		listed[spec.ID] = true
-		have := s.servers[spec.ID]
-		if have == nil {
+		known := s.servers[spec.ID]
+		if known == nil {
 			svc := s.services[spec.Service]
 			if svc == nil {
 				svc = &service{Service: Service{Name: spec.Service}, versions: s.versionsOf(spec.Service)}
@@ -85,9 +85,9 @@
 			s.applyNotice(now, s.servers[spec.ID])
 			continue
 		}
-		have.leaving = have.leaving || spec.Draining
-		spec.Draining = spec.Draining || have.Draining && spec.Address == have.Address
-		have.Server = spec
+		known.leaving = known.leaving || spec.Draining
+		spec.Draining = spec.Draining || known.Draining && spec.Address == known.Address
+		known.Server = spec
 	}
 	for id, srv := range s.servers {
 		if !listed[id] {
@@ -101,7 +101,7 @@
 	s.groupServers()
 }
 
-// SetOwner sets the incarnation of the host that runs this scheduler. It is called before
+// SetOwner sets the incarnation of the host that runs this scheduler. It must be called before
 // SetServers.
 func (s *Scheduler) SetOwner(incarnation uint64) { s.owner = incarnation }
 
--- a/internal/sched/kept.go
+++ b/internal/sched/kept.go
@@ -16,8 +16,8 @@
 }
 
 func (c *idleConnections) hasIdle(now Time, holder uint64) bool {
-	k := c.byHolder[holder]
-	return k != nil && k.idle > 0 && now-k.at < connectionIdleTimeout
+	conns := c.byHolder[holder]
+	return conns != nil && conns.idle > 0 && now-conns.at < connectionIdleTimeout
 }
 
 // release records that a run of holder ended with its whole answer, so that its connection
@@ -26,16 +26,16 @@
 	if c.byHolder == nil {
 		c.byHolder = map[uint64]*holderConnections{}
 	}
-	k := c.byHolder[holder]
-	if k == nil {
+	conns := c.byHolder[holder]
+	if conns == nil {
 		c.prune(now)
-		k = &holderConnections{}
-		c.byHolder[holder] = k
+		conns = &holderConnections{}
+		c.byHolder[holder] = conns
 	}
-	if now-k.at >= connectionIdleTimeout {
-		k.idle = 0
+	if now-conns.at >= connectionIdleTimeout {
+		conns.idle = 0
 	}
-	k.idle, k.at = k.idle+1, now
+	conns.idle, conns.at = conns.idle+1, now
 }
 
 // prune removes holders whose connections are closed by now: with hundreds of hosts and
@@ -44,12 +44,12 @@
 	if len(c.byHolder) < pruneThreshold {
 		return
 	}
-	maps.DeleteFunc(c.byHolder, func(_ uint64, k *holderConnections) bool { return now-k.at >= connectionIdleTimeout })
+	maps.DeleteFunc(c.byHolder, func(_ uint64, conns *holderConnections) bool { return now-conns.at >= connectionIdleTimeout })
 }
 
 // acquire records that a run of holder starts, on an idle connection if there is one.
 func (c *idleConnections) acquire(holder uint64) {
-	if k := c.byHolder[holder]; k != nil && k.idle > 0 {
-		k.idle--
+	if conns := c.byHolder[holder]; conns != nil && conns.idle > 0 {
+		conns.idle--
 	}
 }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -13,10 +13,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// An overload of 18 engines with 8 slots, a third of them at 0.6 and the others at 1.7 of the
-// nominal speed, by a burst of three kinds of requests at twice the rate that they can serve. The
+// The load is a burst of three kinds of requests at twice the rate that 18 engines with 8 slots can
+// serve; a third of the engines run at 0.6 and the others at 1.7 times the nominal speed. The
 // kinds differ in priority, length and deadline; the priority does not depend on the account. A
-// caller that is refused retries once, after the delay that it was told.
+// caller that is refused retries once, after the delay that the refusal states.
 const (
 	loadEngines = 18
 	loadSlots   = 8
@@ -27,14 +27,14 @@
 // loadKind is one kind of request. Sizes are means of exponential distributions.
 type loadKind struct {
 	priority, prompt, output int
-	aim, deadline            time.Duration
+	latencyTarget, deadline  time.Duration
 	share                    float64
 	callerTimeout            time.Duration // for the first event; the caller disconnects after it
 }
 
 var loadKinds = []loadKind{
 	{0, 2950, 52, 800 * ms, 8 * time.Second, 0.30, 4 * time.Second},  // long prompts, most urgent
-	{1, 1860, 24, 800 * ms, 4 * time.Second, 0.37, 4 * time.Second},  // bulk reading
+	{1, 1860, 24, 800 * ms, 4 * time.Second, 0.37, 4 * time.Second},  // bulk work: medium prompts, short answers
 	{2, 600, 261, 600 * ms, 15 * time.Second, 0.33, 4 * time.Second}, // long answers, least urgent
 }
 
@@ -46,14 +46,14 @@
 
 type eventQueue []simEvent
 
-func (a eventQueue) Len() int           { return len(a) }
-func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)        { *a = append(*a, x.(simEvent)) }
-func (a *eventQueue) Pop() any {
-	old := *a
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -89,9 +89,9 @@
 // estimatedLength draws lengths as observed: one in ten is four times the mean or more, and
 // the caller's estimate is right only at the median.
 func (d *loadSimulation) estimatedLength(mean int) (real, expected int) {
-	const lengthDeviation, guessDeviation = 1.3, 0.5 // standard deviations of the logarithms
+	const lengthDeviation, estimateDeviation = 1.3, 0.5 // standard deviations of the logarithms
 	n := float64(mean) * math.Exp(lengthDeviation*d.rng.NormFloat64()-lengthDeviation*lengthDeviation/2)
-	return 1 + int(n), 1 + int(n*math.Exp(guessDeviation*d.rng.NormFloat64()))
+	return 1 + int(n), 1 + int(n*math.Exp(estimateDeviation*d.rng.NormFloat64()))
 }
 
 type loadRequest struct {
@@ -139,7 +139,7 @@
 	r.Service, r.Priority = engine, kind.priority
 	r.PromptTokens = int(d.rng.ExpFloat64() * float64(kind.prompt))
 	r.length, r.OutputTokens = d.lengths(kind.output)
-	r.LatencyTarget, r.Deadline = now+kind.aim, now+kind.deadline
+	r.LatencyTarget, r.Deadline = now+kind.latencyTarget, now+kind.deadline
 	d.all = append(d.all, r)
 	d.submit(now, r)
 	if now < burstLength {
@@ -170,13 +170,13 @@
 		if now-r.Arrived <= earlyRefusalLimit {
 			d.results[r.kind].refusedEarly++
 		}
-		back := now + min(o.RetryAfter, (r.Deadline-now)/3)
-		if r.retried || back >= r.Deadline {
+		retryAt := now + min(o.RetryAfter, (r.Deadline-now)/3)
+		if r.retried || retryAt >= r.Deadline {
 			d.results[r.kind].lost++
 			continue
 		}
 		r.retried = true
-		d.at(back, func(now Time) { d.submit(now, r) })
+		d.at(retryAt, func(now Time) { d.submit(now, r) })
 	}
 }
 
@@ -195,20 +195,20 @@
 // prompt of the same size.
 func (d *loadSimulation) serve(now Time, r *loadRequest, speed float64) {
 	first := time.Duration(2 * float64(r.PromptTokens) / 39.3 / speed * float64(ms))
-	pace := time.Duration(9 * float64(ms) / speed)
-	end := now + first + time.Duration(r.length)*pace
+	tokenTime := time.Duration(9 * float64(ms) / speed)
+	end := now + first + time.Duration(r.length)*tokenTime
 	d.at(min(end, r.Deadline), func(now Time) {
 		delete(d.outstanding, r.ID)
 		r.served = end <= r.Deadline
 		switch {
 		case end > r.Deadline:
 			d.results[r.kind].lost++
-		case end-time.Duration(r.length)*pace-r.started <= loadKinds[r.kind].aim:
+		case end-time.Duration(r.length)*tokenTime-r.started <= loadKinds[r.kind].latencyTarget:
 			d.results[r.kind].inTime++
 		default:
 			d.results[r.kind].late++
 		}
-		d.apply(now, d.s.Finish(now, Outcome{Key: r.Key, Result: OK, FirstEvent: first, TokenTime: pace}))
+		d.apply(now, d.s.Finish(now, Outcome{Key: r.Key, Result: OK, FirstEvent: first, TokenTime: tokenTime}))
 	})
 }
 
@@ -218,8 +218,8 @@
 		d.at(tick, func(now Time) { d.apply(now, d.s.Tick(now)) })
 	}
 	for d.events.Len() > 0 {
-		h := heap.Pop(&d.events).(simEvent)
-		h.do(h.at)
+		next := heap.Pop(&d.events).(simEvent)
+		next.do(next.at)
 	}
 }
 
@@ -229,9 +229,10 @@
 
 var _ = Describe("a burst at twice what the engines can serve", func() {
 	// Reasons for the bounds: the most urgent kind needs half of the engines' time, so nearly all of it
-	// can be on time (with one priority for all kinds, 0.76 is). The rest goes to the next kind first.
-	// No kind gets less than a fifth, because the burst ends and the long deadline of the last kind
-	// outlasts it; so the last kind may be served more often than the second, though late.
+	// can be on time (with one priority for all kinds, 0.76 of it is). The remaining time goes to the
+	// next kind first. At least a fifth of each kind is served, because the burst ends and the long
+	// deadline of the last kind outlasts it; so the last kind may be served more often than the second,
+	// though late.
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("serves the urgent kind on time and starves none (seed %d)", seed), func() {
 			d := newLoadSimulation(seed)
@@ -265,8 +266,8 @@
 		}
 		return n, d.results
 	}
-	// Reason for the bound: one answer in ten takes half of the slots' time, and in a burst it is worth
-	// no more than others. The callers' estimates are off by a half, so not all of that can be gained.
+	// Reason for the bound: one answer in ten takes half of the slots' time, and in a burst it counts for
+	// no more than others. The callers' estimates are off by a half, so not all of that time can be gained.
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("serves more callers by letting short answers go first (seed %d)", seed), func() {
 			without, before := served(seed, 0)
@@ -279,7 +280,7 @@
 })
 
 var _ = Describe("a burst in which most of a kind cannot be served", func() {
-	// Without early refusals the callers of bulk reading wait for a third of their time and are refused
+	// Without early refusals the callers of bulk requests wait for a third of their time and are refused
 	// then. Reasons for the bounds: through most of the burst more requests arrive than are placed, so
 	// most can be refused on arrival; the fractions served are those without early refusals, less 0.03.
 	// The long answers outlast the burst and must not be refused early.
@@ -318,8 +319,8 @@
 
 var _ = Describe("the longest answers of a kind", func() {
 	// In a burst the callers of long answers wait behind every shorter one, are refused, retry and are
-	// refused again: 0.28 of them were served, against 0.68 of their kind. Here a short request arrives
-	// for each slot that opens.
+	// refused again: 0.28 of them were served, against 0.68 of their kind. In this test a short request
+	// arrives for each slot that opens.
 	It("are not overtaken for as long as they may wait", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
--- a/internal/sched/notices_test.go
+++ b/internal/sched/notices_test.go
@@ -78,7 +78,7 @@
 	)
 
 	// Hundreds of hosts that lose their home at once must not each have a send saved up, and
-	// together with a slow home that continues they must not use the limit twice.
+	// together with a slow home that goes on scheduling they must not use the limit twice.
 	DescribeTable("gets no more from hosts that all start to schedule alone at once, beside a home",
 		func(hosts int) {
 			for _, perSecond := range []float64{1, 10, 50} {
@@ -98,7 +98,7 @@
 		Entry("6", 6), Entry("60", 60), Entry("195", 195), Entry("390", 390),
 	)
 
-	// The limit must not be lost with the home.
+	// The limit must still hold after the home is lost.
 	It("gets no more when another host takes over and learns the limit only then", func() {
 		first, next := newOneServerScheduler(1, home), newOneServerScheduler(2, Share{Servers: 0.1, Limits: 0.1, Sends: 0.1})
 		first.LearnNotices(0, 1, []notice.Record{limitRecord("a", 1, 0)})
@@ -138,7 +138,7 @@
 		Expect(len(sendsUnderLoad(s, 3*time.Second, 4*time.Second, 10*ms, nil))).To(BeNumerically(">", 90))
 	})
 
-	It("is known when it is listed after its notice", func() {
+	It("is limited when it is listed after its notice", func() {
 		s := newOneServerScheduler(1, home)
 		s.LearnNotices(0, 1, []notice.Record{limitRecord("b", 1, 0)})
 		s.SetServers(time.Second, []Server{{ID: "b", Service: plain, Address: "b", Slots: 8}})
--- a/internal/sched/ownfault.go
+++ b/internal/sched/ownfault.go
@@ -20,7 +20,7 @@
 type requestFailure struct {
 	server  string // of the first failure
 	at      Time   // of the latest failure
-	atFault bool   // it has failed at a second server
+	atFault bool   // it has failed at a second server, so the request is to blame
 }
 
 // requestFailures remembers requests that failed recently, to tell faulty requests from faulty
@@ -29,7 +29,7 @@
 // A request that fails at every server makes each server look faulty: one caller that sent
 // such a body a few times per second had all servers of the service ejected in turn, and
 // other callers were refused. A request that fails at a second server, and has succeeded at
-// none, is at fault itself.
+// none since, is at fault itself.
 type requestFailures struct {
 	recent *simplelru.LRU[quarantine.Fingerprint, requestFailure]
 }
--- a/internal/sched/pacer.go
+++ b/internal/sched/pacer.go
@@ -9,7 +9,7 @@
 	// minPacerRate bounds the interval of a host with a tiny share of a limit, in requests a
 	// second.
 	minPacerRate = 1e-6
-	// sendExpiry is how late a send that was due may still be used.
+	// sendExpiry is how long after it was due a send may still be used.
 	sendExpiry = 250 * time.Millisecond
 	// adoptedSendWindow is the age up to which a run that another scheduler placed counts as a
 	// send here.
@@ -51,7 +51,7 @@
 
 // skipMissed drops the sends that were due and not used.
 //
-// Hosts that lose their home decide alone from one moment to the next, each with a share of the
+// Hosts that lose their home schedule alone from one moment to the next, each with a share of the
 // limit. If an unused send were kept, each of them would have one: hundreds at once for a
 // server that accepts one a second.
 func (p *pacer) skipMissed(now Time) {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,8 +9,8 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
-// fill places waiting requests while the servers in free have room, the most urgent
-// first. A request whose account is over its quota does not hold up others, nor does
+// fill places waiting requests, the most urgent first, while the servers in free have
+// room. A request whose account is over its quota does not hold up others, nor does
 // one that waits for a server at which it can meet its latency target.
 func (s *Scheduler) fill(now Time, svc *service, free []*server) {
 	if svc.queue.size == 0 || len(free) == 0 {
@@ -82,10 +82,11 @@
 }
 
 // concurrencyLimit is how many requests srv may have at once from this scheduler. A
-// fraction of a slot is granted by srv.lot, which differs between hosts: of many hosts
-// that each have a tenth of a slot, about one in ten uses the server. If each used one
+// fraction of a slot is rounded by srv.hashFraction, which differs between hosts: of many
+// hosts that each have a tenth of a slot, about one in ten uses the server. If each used one
 // slot, 72 hosts that have lost their home would fill a server of 6 slots twelve times
-// over. A server that states a rate limit is shared by that instead.
+// over. A server that states a rate limit is shared by that limit instead, so each host
+// may use it.
 func (s *Scheduler) concurrencyLimit(svc *service, srv *server) int {
 	slots := float64(srv.Slots)
 	if s.policy.Handovers {
@@ -158,9 +159,9 @@
 		penalty = plainFailurePenalty
 	}
 	if r.Retry {
-		penalty *= repeatPenaltyFactor
+		penalty *= retryPenaltyFactor
 	}
-	return c + time.Duration(srv.failureShare(now)*float64(penalty)) + s.suspectCost(srv, r)
+	return c + time.Duration(srv.failureRateAt(now)*float64(penalty)) + s.suspectCost(srv, r)
 }
 
 func (s *Scheduler) place(now Time, svc *service, srv *server, w *waiting) {
@@ -192,9 +193,9 @@
 // them when units is below 0.
 //
 // A host that gets no answer from its home uses its own share of each quota, while the home
-// goes on giving out the whole quota. A slow home loses its followers again and again, and
-// accounts exceeded their limits by a twentieth. So what hosts placed alone is charged here
-// as soon as they follow again, and the account pays it back.
+// goes on giving out the whole quota. A slow home loses the hosts that use it again and
+// again, and accounts exceeded their limits by a twentieth. So what a host placed alone is
+// charged here as soon as it uses the home again, and the account pays the debt back.
 func (s *Scheduler) Charge(now Time, account string, units float64) {
 	if b := s.accounts[account]; b != nil {
 		b.charge(now, units)
@@ -217,7 +218,7 @@
 
 // quotaWaitInQueue is how long r would wait for its account's quota behind the requests of
 // the account that go before it. A request that cannot get its quota in time is refused on
-// arrival rather than after a wait in vain.
+// arrival rather than after a useless wait.
 func (s *Scheduler) quotaWaitInQueue(now Time, svc *service, r *Request) time.Duration {
 	b := s.accounts[r.Account]
 	if b == nil {
@@ -236,9 +237,9 @@
 // hasFullQuotas reports whether this scheduler alone gives out the accounts' quotas.
 //
 // With a share of the quotas the levels of its buckets mean little. When all hosts start at
-// once each has a 72nd, less than one request needs, and accounts far below their limits
-// would be refused until there is a home, half a second later. Their requests wait for the
-// home instead.
+// once, each of 72 has a 72nd of each quota, less than one request needs, and accounts far
+// below their limits would be refused until there is a home, half a second later. Their
+// requests wait for the home instead.
 func (s *Scheduler) hasFullQuotas() bool { return s.share.Limits >= 1 }
 
 func (s *Scheduler) maxQuotaWait(r *Request) time.Duration {
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("a long stream among engines of different speeds", func() {
 	// In a burst the fast engine is full and the slow one has room. A stream of 1,500 tokens at the
-	// slow one runs for all of its 15 s and is cut off: its caller has waited in vain, and other
+	// slow one runs for all of its 15 s and is cut off: its caller gets no whole answer, and other
 	// requests were denied the slot.
 	fastAndSlow := func() *Scheduler {
 		s := newScheduler(2, 1)
@@ -46,9 +46,9 @@
 })
 
 var _ = Describe("a long prompt among engines of different speeds", func() {
-	// A third of the engines is four times slower. In a burst the slot that opens is one of theirs,
-	// and the first waiting request takes it with a prompt of thousands of tokens: its caller waits a
-	// second for the first event, and every stream there pauses for longer than its caller accepts.
+	// A third of the engines are four times slower. In a burst the slot that opens is often on one of
+	// them, and the first waiting request takes it with a prompt of thousands of tokens: its caller waits
+	// a second for the first event, and every stream there pauses for longer than its caller accepts.
 	fastAndSlow := func() *Scheduler {
 		s := newScheduler(2, 2)
 		s.servers["e0"].tokenTime = 3 * ms
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -7,8 +7,9 @@
 	// ConcurrencyFactor limits the requests at a server, as a multiple of its slots. Engines admit
 	// requests in order of arrival, so a request already there cannot be overtaken.
 	ConcurrencyFactor float64
-	// MaxWaitShare is the fraction of its time that a request may wait. The rest must
-	// suffice for its run, or for one more attempt by its caller.
+	// MaxWaitShare is the fraction of its time, from its arrival to its deadline, that a
+	// request may wait. The remaining time must suffice for its run, or for one more
+	// attempt by its caller.
 	MaxWaitShare float64
 	// MaxQuotaWaitShare is the fraction of its time that a request may wait for its
 	// account's quota. Most quotas refill within it, and a refused caller would come
@@ -21,15 +22,15 @@
 	// third of their time.
 	RetryAfter      time.Duration
 	RetryAfterShare float64
-	// RetryRatio and RetryBurst limit the requests that are sent a second time: as a
+	// RetryRatio and RetryBurst limit the requests that holders send a second time: as a
 	// fraction of a service's requests, and as a number beyond that fraction. Both
 	// stay below the platform's limit over all hosts and leave room for a second home
-	// during a partition. A host that decides alone has a share of RetryBurst, as it
+	// during a partition. A host that schedules alone has a share of RetryBurst, as it
 	// has of the quotas.
 	RetryRatio float64
 	RetryBurst float64
 	// FailurePenalty is added to the cost of a server, in predicted time, when all
-	// its latest answers failed.
+	// its latest answers failed, and in proportion when some did.
 	FailurePenalty time.Duration
 	// LengthDelayWeight delays a request behind others of its priority by this multiple of
 	// the time that an engine of typical speed takes to generate its answer. Answers
@@ -43,7 +44,8 @@
 	// another server may have it cached, in multiples of the time to prefill it: it
 	// also evicts other prompt parts from the server's memory.
 	CacheMissWeight float64
-	// TotalWeight weighs a request's predicted end against its first token.
+	// TotalWeight is the weight of the predicted time to a request's end, relative to
+	// that of the time to its first event.
 	TotalWeight float64
 	// CacheChoiceWindow is how many waiting requests a server with room may choose from, by
 	// what it has cached of their prompts.
@@ -74,8 +76,8 @@
 	// RequireDeadline withholds a slot that others wait for from a request that is expected
 	// to end after its deadline even at the fastest engine.
 	RequireDeadline bool
-	// MinSizeClassShare is how often the requests of a size class are placed at least, as a
-	// fraction of how often all requests of their priority are.
+	// MinSizeClassShare is the minimum fraction of the requests of a size class that are
+	// placed, relative to that fraction for all requests of their priority.
 	MinSizeClassShare float64
 	// Handovers gives the servers of plain services more concurrent placements than
 	// slots, so that no slot is idle while one call follows another; see
@@ -144,20 +146,20 @@
 	// are rejected early.
 	earlyRejectionRatio = 1.2
 	tokenTimeWeight     = 0.3 // weight of a new sample of a server's token time
-	// failureWeight is the weight of the latest answer in a server's failure share.
-	// ejectionFailureShare is the share above which a broken answer ejects the server.
-	failureWeight        = 0.25
-	ejectionFailureShare = 0.5
-	// repeatPenaltyFactor multiplies the failure penalty for a repeat, which is usually
+	// failureWeight is the weight of the latest answer in a server's failure rate.
+	// ejectionFailureRate is the rate above which a broken answer ejects the server.
+	failureWeight       = 0.25
+	ejectionFailureRate = 0.5
+	// retryPenaltyFactor multiplies the failure penalty for a retry, which is usually
 	// the last run that a request may have.
-	repeatPenaltyFactor = 4
-	// failureHalfLife is the time in which a server's failure share halves, so that the
+	retryPenaltyFactor = 4
+	// failureHalfLife is the time in which a server's failure rate halves, so that the
 	// server is tried again.
 	failureHalfLife   = 2 * time.Second
-	maxEjectionFactor = 4 // longest ejection time, in multiples of the first
-	rejectedBackoff   = 150 * time.Millisecond
-	// callerTimeoutMargin is how long before its caller's timeout a stream must show
-	// its first event, beyond the usual time to the first event. It covers the return
+	maxEjectionFactor = 4                      // longest ejection time, in multiples of the first
+	rejectedBackoff   = 150 * time.Millisecond // without requests, after the server rejected one
+	// callerTimeoutMargin is subtracted, like the usual time to the first event, from
+	// the time that a stream may wait before its caller's timeout. It covers the return
 	// path of the answer and an engine that is slower than the others.
 	callerTimeoutMargin = 300 * time.Millisecond
 	// connectionIdleTimeout is how long an unused connection from a holder to a server
@@ -165,5 +167,5 @@
 	connectionIdleTimeout = 3 * time.Second
 	// orphanGrace is added to the predicted end of a run whose holder is gone.
 	orphanGrace      = 2 * time.Second
-	maxPredictedTime = 30 * time.Second
+	maxPredictedTime = 30 * time.Second // of a run; also the cost of ending after the deadline
 )
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -18,7 +18,7 @@
 	phase orderPhase
 	// trial is set while this scheduler runs the roll-out.
 	trial *rollout.Trial
-	// rolledBack are versions that were rolled back and not ordered again.
+	// rolledBack are the versions that were rolled back and not ordered again since.
 	rolledBack map[string]bool
 }
 
@@ -28,14 +28,16 @@
 const (
 	// phaseUnknown: the order is known, but not how far it was carried out.
 	phaseUnknown orderPhase = iota
+	// phaseTrying: the ordered version is on trial.
 	phaseTrying
+	// phaseMoving: the ordered version gets all requests, and the old servers finish theirs.
 	phaseMoving
 	phaseMoved
 	phaseRolledBack
 )
 
-// minRemainingShare is the share of the servers of the current versions above which servers
-// of a version without an order get no requests.
+// minRemainingShare is the share of the servers of the current versions that must remain listed
+// for servers of a version without an order to get no requests.
 const minRemainingShare = 0.5
 
 // SetOrder records an operator's order to move a service to a version. Servers of that version
@@ -56,8 +58,8 @@
 	s.groupServers()
 }
 
-// StartTrial makes this scheduler carry out an order that was given the duration ago before
-// now.
+// StartTrial makes this scheduler carry out an order that was given ago before now. resumed
+// tells that it takes the trial over from another scheduler.
 func (s *Scheduler) StartTrial(now Time, o rollout.Order, ago time.Duration, resumed bool) {
 	v := s.versionsOf(o.Service)
 	if v.order == nil || v.order.Row != o.Row || v.trial != nil {
@@ -130,8 +132,8 @@
 
 // TakeRolloutSteps returns the steps that trials took since the last call.
 func (s *Scheduler) TakeRolloutSteps() []rollout.Status {
-	steps := s.rollouts
-	s.rollouts = nil
+	steps := s.rolloutSteps
+	s.rolloutSteps = nil
 	return steps
 }
 
@@ -172,7 +174,7 @@
 	default:
 		v.phase = phaseTrying
 	}
-	s.rollouts = append(s.rollouts, v.trial.Standing())
+	s.rolloutSteps = append(s.rolloutSteps, v.trial.Standing())
 	s.groupServers()
 }
 
@@ -363,8 +365,8 @@
 }
 
 // sample converts the outcome of a run into a sample for the trial; ok is false if the outcome
-// says nothing about the version. That is so for runs that ended with their server, and for
-// failures of requests suspected of ending servers.
+// says nothing about the version, such as that of a run that ended with its server or the
+// failure of a request suspected of ending servers.
 func (s *Scheduler) sample(now Time, svc *service, r *run, o Outcome) (out rollout.Sample, ok bool) {
 	out = rollout.Sample{Route: r.req.Route, Server: r.server.ID, New: r.server.Version == svc.versions.order.To}
 	typical := svc.typicalTokenTime()
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -37,7 +37,7 @@
 // usedVersions sends calls, some of them concurrent, and counts them by the version that ran
 // them.
 func (d *versionDriver) usedVersions(now Time, calls int) map[string]int {
-	const atOnce = 5 // more than a server's slots
+	const maxOpen = 5 // concurrent calls; more than a server's slots
 	usedVersions := map[string]int{}
 	var open []Key
 	for i := range calls {
@@ -50,7 +50,7 @@
 			continue
 		}
 		usedVersions[d.servers[out[0].Server].Version]++
-		if open = append(open, key); len(open) > atOnce {
+		if open = append(open, key); len(open) > maxOpen {
 			d.Finish(at, Outcome{Key: open[0], Result: OK, FirstEvent: 10 * ms})
 			open = open[1:]
 		}
@@ -111,7 +111,7 @@
 		d.StartTrial(time.Second, order, 0, false)
 		usedVersions := d.usedVersions(time.Second, 1000)
 		Expect(usedVersions["v2"]).To(BeNumerically(">", 0))
-		Expect(usedVersions["v2"]).To(BeNumerically("<=", 75), "half of a tenth and of the slack")
+		Expect(usedVersions["v2"]).To(BeNumerically("<=", 75), "half of the bounds, a tenth of the requests plus the slack")
 	})
 
 	// The operator orders the current version again while the new one is on trial.
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -11,25 +11,25 @@
 // Scheduler owns the queues of all services. It belongs to one goroutine and is not
 // safe for concurrent use.
 type Scheduler struct {
-	policy   Policy
-	share    Share
-	owner    uint64 // incarnation of the host; determines srv.lot of each server
-	services map[string]*service
-	servers  map[string]*server
-	quotas   []Account // as configured
-	accounts map[string]*bucket
-	runs     map[Key]*run
-	orphans  int
-	suspects *quarantine.Table
-	entryTTL time.Duration // maximum time for which a server is still listed after its end
-	faults   requestFailures
-	copies   map[quarantine.Fingerprint]int    // number of runs
-	review   map[quarantine.Fingerprint]string // to be judged again, by fingerprint; the value is the service
-	versions map[string]*versions              // by service
-	notices  map[string]serverNotice           // by server
-	bounds   rollout.Bounds
-	rollouts []rollout.Status // steps since the last call of TakeRolloutSteps
-	out      []Decision       // decisions of the current call
+	policy         Policy
+	share          Share
+	owner          uint64 // incarnation of the host; determines the hashFraction of each server
+	services       map[string]*service
+	servers        map[string]*server
+	quotas         []Account // as configured
+	accounts       map[string]*bucket
+	runs           map[Key]*run
+	orphans        int
+	suspects       *quarantine.Table
+	entryTTL       time.Duration // maximum time for which a server is still listed after its end
+	failedRequests requestFailures
+	copies         map[quarantine.Fingerprint]int    // number of runs
+	review         map[quarantine.Fingerprint]string // services of the requests that are to be judged again
+	versions       map[string]*versions              // by service
+	notices        map[string]serverNotice           // by server
+	bounds         rollout.Bounds
+	rolloutSteps   []rollout.Status // steps since the last call of TakeRolloutSteps
+	out            []Decision       // decisions of the current call
 }
 
 // service is a service with its queue.
@@ -40,10 +40,10 @@
 	versions          *versions
 	queue             queue
 	retryBudget       bucket
-	timeToFirstEvent  durationEstimate // from the placement to the first event or the whole answer
+	timeToFirstEvent  durationEstimate // from the placement to the first event or, for a plain call, the whole answer
 	typical           time.Duration    // cached result of typicalTokenTime, 0 when it may have changed
 	handoverTime      durationEstimate // of a plain call's placement, beyond the time that its server has the call
-	recurrentPlacedAt Time             // when a request under which two servers ended was last placed
+	recurrentPlacedAt Time             // when a recurrent suspect was last placed; see suspects.go
 	// prefillRatio is the time that an engine takes to prefill one prompt token, as a
 	// fraction of the time to generate one.
 	prefillRatio float64
@@ -51,7 +51,7 @@
 
 // Share is the share of the resources that a scheduler may use: all of them at the
 // home (the host that runs the scheduler for the others), less at a host that
-// decides alone.
+// schedules alone.
 type Share struct {
 	Servers float64 // of every server's slots
 	Limits  float64 // of every account's quota and service's retry budget
@@ -68,7 +68,7 @@
 		policy: p, share: Share{Servers: 1, Limits: 1, Sends: 1},
 		services: map[string]*service{}, servers: map[string]*server{},
 		accounts: map[string]*bucket{}, runs: map[Key]*run{},
-		suspects: quarantine.NewTable(), faults: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
+		suspects: quarantine.NewTable(), failedRequests: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
 		review: map[quarantine.Fingerprint]string{}, versions: map[string]*versions{}, notices: map[string]serverNotice{}, bounds: rollout.DefaultBounds(),
 	}
 	s.SetEntryTTL(DefaultEntryTTL)
@@ -127,7 +127,7 @@
 	if !placed && s.shouldRejectEarly(now, svc, pq, w) && s.dequeue(r.Key) {
 		s.refuse(now, w, Overload, s.retryAfter(now, w))
 	}
-	// Other hosts may still have servers that are not backing off from them.
+	// At another host the caller may find servers that have not asked that host to back off.
 	if !placed && s.allBackedOff(now, svc, w) && s.dequeue(r.Key) {
 		s.refuse(now, w, Overload, s.policy.RetryAfter)
 	}
@@ -155,8 +155,8 @@
 // In a burst most requests of a priority wait for as long as they may and are then
 // refused: their callers learn late what was foreseeable on arrival, and retry late.
 // Some requests are never rejected early: those that may wait for seconds, as they
-// outlast many bursts; plain calls, which wait for a tenth of a second; repeats, whose
-// first run would be lost; and all requests at a host that decides alone, which has a
+// outlast many bursts; plain calls, which wait for a tenth of a second; retries, whose
+// first run would be lost; and all requests at a host that schedules alone, which has a
 // home again in a moment.
 func (s *Scheduler) shouldRejectEarly(now Time, svc *service, pq *priorityQueue, w *waiting) bool {
 	maxWait := time.Duration(float64(w.Deadline-w.Arrived) * s.policy.MaxWaitShare)
@@ -169,12 +169,13 @@
 	return pq.shouldRejectEarly(now, svc.timeToFirstEvent.upperBound(), w)
 }
 
-// discard drops what is booked under a key.
+// discard removes the waiting request or the run with a key.
 //
 // A holder that lost its connection to the home, or got no answer from it, submits again
 // all requests for which it has no placement, while the home still has the first
 // submission. If both were counted, the first one's slot would be held forever: the
-// server would accept less and less, and callers would be refused while it is idle.
+// server would be given fewer and fewer requests, and callers would be refused while it
+// is idle.
 func (s *Scheduler) discard(now Time, k Key) {
 	s.dequeue(k)
 	if r := s.runs[k]; r != nil {
@@ -194,8 +195,8 @@
 	return false
 }
 
-// rank is the sort key of a request in its priority queue. A request of a size class
-// that is placed too seldom is not delayed.
+// rank is the sort key of a request in its priority queue: its arrival, delayed for a
+// long answer unless its size class is underserved.
 func (s *Scheduler) rank(now Time, pq *priorityQueue, w *waiting) Time {
 	if pq.sizeStats.underserved(now, w.class, s.policy.MinSizeClassShare) {
 		return w.Arrived
@@ -277,7 +278,7 @@
 
 // learnServer updates what is known of a run's server from the run's outcome.
 func (s *Scheduler) learnServer(now Time, r *run, o Outcome) {
-	if s.faults.recordOutcome(now, r.req.Fingerprint, r.server.ID, o.Result) {
+	if s.failedRequests.recordOutcome(now, r.req.Fingerprint, r.server.ID, o.Result) {
 		o.Result = CallerLeft // the outcome says nothing about the server
 	}
 	if (o.Result == OK || o.Result == Progress) && r.placed > r.server.endedAt {
@@ -286,9 +287,9 @@
 	r.server.learn(now, o)
 }
 
-// RecordServerFault counts a failure against a server: it failed a request that another server then
-// answered. A failure alone is not counted, since some requests fail at every server:
-// all servers would look faulty, and the faulty one like the others.
+// RecordServerFault counts a failure against a server: it failed a request that another
+// server then answered. A failure alone is not counted, since some requests fail at every
+// server: all servers would look faulty, and the faulty one could not be told apart.
 func (s *Scheduler) RecordServerFault(now Time, server string) {
 	if srv := s.servers[server]; srv != nil {
 		srv.recordFailure(now)
@@ -312,8 +313,8 @@
 	delete(s.runs, r.req.Key)
 }
 
-// Adopt books a run that another scheduler placed, or one of its own that its holder
-// still has. Its holder reports its end.
+// Adopt records a run that another scheduler placed, or confirms one of its own that the
+// holder still has. The holder reports its end.
 func (s *Scheduler) Adopt(now Time, a AdoptedRun) {
 	if old := s.runs[a.Key]; old != nil && old.server.ID == a.Server {
 		if old.orphan {
@@ -338,8 +339,8 @@
 	s.addCopies(a.Fingerprint, 1)
 }
 
-// HolderGone drops the waiting requests of a holder. Its runs stay booked until their
-// predicted end, unless the holder comes back and reports them.
+// HolderGone drops the waiting requests of a holder. Its runs stay recorded until their
+// predicted end plus orphanGrace, unless the holder comes back and reports them.
 func (s *Scheduler) HolderGone(now Time, holder uint64) {
 	for _, svc := range s.services {
 		svc.queue.each(func(w *waiting) (bool, bool) { return w.Holder == holder, false })
@@ -353,8 +354,9 @@
 	}
 }
 
-// Tick handles the passing of time: it refuses requests that waited too long, ends
-// orphaned runs and places requests at servers whose ejection is over.
+// Tick handles the passing of time: it refuses requests that waited too long, drops
+// orphaned runs, advances trials of new versions and places requests at servers that have
+// room again.
 func (s *Scheduler) Tick(now Time) []Decision {
 	s.out = nil
 	s.expireOrphans(now)
@@ -390,7 +392,7 @@
 	return n
 }
 
-// Running returns the number of booked runs.
+// Running returns the number of runs, including orphaned ones.
 func (s *Scheduler) Running() int { return len(s.runs) }
 
 // refuseQuarantined refuses w until it may be tried again.
--- a/internal/sched/scheduler_test.go
+++ b/internal/sched/scheduler_test.go
@@ -105,8 +105,8 @@
 		Expect(order).To(Equal([]uint64{3, 4, 2}))
 	})
 
-	// In a burst every request waits 0.8 s and is late, although half of them could be on time,
-	// if the oldest goes first: it has just missed its latency target.
+	// If the oldest request always goes first in a burst, every request waits 0.8 s and is late,
+	// although half of them could be on time: the oldest has just missed its latency target.
 	It("moves requests that missed their latency target behind those that can still meet it", func() {
 		s := newScheduler(1, 1)
 		s.Submit(0, stream(1, 0, 0))
@@ -132,11 +132,11 @@
 		s := newScheduler(2, 4)
 		for id := uint64(1); id <= 8; id++ {
 			out, _ := s.Submit(0, stream(id, 0, 0))
-			pace := 20 * ms
+			tokenTime := 20 * ms
 			if out[0].Server == "e1" {
-				pace = 3 * ms
+				tokenTime = 3 * ms
 			}
-			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: Progress, TokenTime: pace})
+			s.Finish(0, Outcome{Key: Key{Holder: 1, ID: id}, Result: Progress, TokenTime: tokenTime})
 		}
 		for id := uint64(1); id <= 8; id++ {
 			finish(s, 0, id, OK)
@@ -228,18 +228,18 @@
 		Expect(refused(out)).To(Equal(map[uint64]Reason{1: NoService}))
 	})
 
-	It("limits repeats by the retry budget", func() {
+	It("limits retries by the retry budget", func() {
 		s := newScheduler(1, 1000)
-		repeats := 0
+		retries := 0
 		for id := range uint64(200) {
 			r := call(id, 0)
 			r.Retry = true
 			out, _ := s.Submit(0, r)
 			if out[0].Reason == 0 {
-				repeats++
+				retries++
 			}
 		}
-		Expect(repeats).To(BeNumerically("==", DefaultPolicy().RetryBurst))
+		Expect(retries).To(BeNumerically("==", DefaultPolicy().RetryBurst))
 	})
 })
 
@@ -282,7 +282,7 @@
 		Expect(refused(out)).To(HaveKeyWithValue(uint64(2), Quota))
 	})
 
-	// A request is charged to its account, the server is full and does not run it. Without a refund
+	// A request is charged to its account, but the server is full and does not run it. Without a refund
 	// the account's next request is refused although nothing ran.
 	It("refunds a request that did not run", func() {
 		s := limited(1, 4_000)
@@ -293,7 +293,7 @@
 	})
 
 	// After a change of home an account within its limit was refused for a second: the new home's
-	// share of the quota grows tenfold, but its bucket held only what was left of the small share.
+	// share of the quota had grown tenfold, but its bucket held only what was left of the small share.
 	It("has half of the burst ready when a host becomes the home, however often", func() {
 		s := newScheduler(1, 1000)
 		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
@@ -323,7 +323,7 @@
 })
 
 var _ = Describe("changes of home", func() {
-	It("books the runs that another home placed", func() {
+	It("records the runs that another home placed", func() {
 		s := newScheduler(1, 1)
 		s.Adopt(0, AdoptedRun{Key: Key{Holder: 1, ID: 9}, Service: engine, Server: "e0", PromptTokens: 100, OutputTokens: 10})
 		_, waits := s.Submit(0, stream(1, 0, 0))
@@ -343,8 +343,8 @@
 	})
 
 	// 72 hosts lose their home at once. When each used one slot of every server, the engines were
-	// filled twelve times over and rejected a third of all work.
-	It("does not fill servers several times over when many hosts decide alone", func() {
+	// filled twelve times over and rejected a third of all requests.
+	It("does not fill servers several times over when many hosts schedule alone", func() {
 		const hosts, servers, slots = 72, 20, 6
 		running := map[string]int{}
 		for h := range uint64(hosts) {
@@ -372,7 +372,7 @@
 		Expect(total).To(BeNumerically("~", servers*slots, servers*slots/3))
 	})
 
-	It("stays within its share of the servers when it decides alone", func() {
+	It("stays within its share of the servers when it schedules alone", func() {
 		s := newScheduler(1, 8)
 		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
 		n := 0
--- a/internal/sched/server.go
+++ b/internal/sched/server.go
@@ -24,7 +24,7 @@
 }
 
 // server is the scheduler's view of one backend server. Each placement is
-// recorded here at once, so the load is known without load reports.
+// recorded here at once, so the server's load is known without load reports.
 type server struct {
 	Server
 	running           int
@@ -34,13 +34,13 @@
 	prefillFreeAt     Time // when prefill of the prompts placed so far is predicted to end
 	tokenTime         time.Duration
 	tokenTimeMeasured bool    // tokenTime comes from the server's own answers
-	failureAverage    float64 // moving average of failed answers, 0 to 1, as of failureUpdatedAt
+	failureRate       float64 // moving average of the fraction of answers that failed, as of failureUpdatedAt
 	failureUpdatedAt  Time
 	ejectedUntil      Time
 	firstEjection     time.Duration // length of the first ejection
 	nextEjection      time.Duration // length of the next ejection
-	pausedUntil       Time          // after it rejected a request
-	coldUntil         Time          // slower than usual until then, after its start
+	pausedUntil       Time          // no requests until then, since it rejected one
+	coldUntil         Time          // end of its warm-up, until which it is slower
 	hashFraction      float64       // 0 to 1, differs by host and server; rounds a host's fractional share of the slots
 	cache             prefixCache
 	idleConnections   idleConnections
@@ -61,6 +61,7 @@
 	return s
 }
 
+// usable reports whether s is neither draining nor ejected.
 func (s *server) usable(now Time) bool {
 	return !s.Draining && now >= s.ejectedUntil
 }
@@ -114,12 +115,12 @@
 	return p
 }
 
-// failureShare returns the failure average, decayed by the time since its last update.
-func (s *server) failureShare(now Time) float64 {
-	if s.failureAverage == 0 {
+// failureRateAt returns the failure rate, decayed by the time since its last update.
+func (s *server) failureRateAt(now Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.failureAverage * math.Exp2(-float64(now-s.failureUpdatedAt)/float64(failureHalfLife))
+	return s.failureRate * math.Exp2(-float64(now-s.failureUpdatedAt)/float64(failureHalfLife))
 }
 
 func (s *server) start(now Time, svc *service, r *Request) *run {
@@ -163,14 +164,14 @@
 	switch o.Result {
 	case OK:
 		s.idleConnections.release(now, o.Holder)
-		s.failureAverage = s.failureShare(now) * (1 - failureWeight)
+		s.failureRate = s.failureRateAt(now) * (1 - failureWeight)
 		s.failureUpdatedAt = now
 		s.nextEjection = s.firstEjection
 	case ServerError:
 		s.recordFailure(now)
 	case Broken, Unresponsive, Unreachable, ServerEnded:
 		s.recordFailure(now)
-		if o.Result != Broken || s.failureAverage > ejectionFailureShare {
+		if o.Result != Broken || s.failureRate > ejectionFailureRate {
 			s.eject(now)
 		}
 	case Stalled:
@@ -183,14 +184,14 @@
 }
 
 // learnTokenTime updates the time per output token from a run. The first sample counts in
-// full: engines differ in speed by a factor of several, and a newly started home would send
-// long prompts to slow engines for a dozen answers.
+// full: engines differ in speed by a factor of several, and a newly started home would
+// otherwise send long prompts to slow engines until it had seen a dozen answers.
 func (s *server) learnTokenTime(sample time.Duration) {
-	rate := tokenTimeWeight
+	weight := tokenTimeWeight
 	if !s.tokenTimeMeasured {
-		rate, s.tokenTimeMeasured = 1, true
+		weight, s.tokenTimeMeasured = 1, true
 	}
-	s.tokenTime += time.Duration(float64(sample-s.tokenTime) * rate)
+	s.tokenTime += time.Duration(float64(sample-s.tokenTime) * weight)
 }
 
 // eject stops sending to the server for a while, twice as long each time up to a limit, until
@@ -204,9 +205,9 @@
 	s.nextEjection = min(maxEjectionFactor*s.firstEjection, 2*s.nextEjection)
 }
 
-// recordFailure adds a failed answer to the failure average.
+// recordFailure adds a failed answer to the failure rate.
 func (s *server) recordFailure(now Time) {
-	f := s.failureShare(now)
-	s.failureAverage = f + (1-f)*failureWeight
+	f := s.failureRateAt(now)
+	s.failureRate = f + (1-f)*failureWeight
 	s.failureUpdatedAt = now
 }
--- a/internal/sched/share_test.go
+++ b/internal/sched/share_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("quotas of a host that decides alone", func() {
+var _ = Describe("quotas of a host that schedules alone", func() {
 	// All hosts are killed and restart. For the half second until they have a home each has a 72nd of
 	// every quota, less than one request needs. Callers far below their limits were told that they are over
 	// their quota, and to retry after the ten seconds in which a 72nd refills.
@@ -43,7 +43,8 @@
 var _ = Describe("a fleet that restarts", func() {
 	// An account ran 6% over its limit when all 68 hosts lost power. Each host restarts with a
 	// share of the quota that is smaller than one request, and with half of it available. Half a
-	// second later each let one request pass and left a debt, which is dropped when there is a home.
+	// second later each let one request pass and left its bucket in debt, which is dropped when there
+	// is a home.
 	It("does not give out an account's quota once for each host", func() {
 		const hosts, rate = 68, 30_000
 		units := 0.0
@@ -62,13 +63,13 @@
 	})
 })
 
-var _ = Describe("retries of hosts that decide alone", func() {
-	// All hosts of a fleet decide alone for a moment after a loss of power, while servers fail.
-	// When each had the whole retry budget, 72 hosts sent 1,440 repeats where 184 are allowed, to
+var _ = Describe("retries of hosts that schedule alone", func() {
+	// All hosts of a fleet schedule alone for a moment after a loss of power, while servers fail.
+	// When each had the whole retry budget, 72 hosts sent 1,440 retries where 184 are allowed, to
 	// servers that were failing.
 	It("stay within the service's retry budget in total", func() {
 		const hosts = 72
-		repeats := 0
+		retries := 0
 		for range hosts {
 			s := newScheduler(1, 1000)
 			s.SetShare(0, Share{Servers: 1, Limits: 1.0 / hosts})
@@ -76,10 +77,10 @@
 				r := stream(id, 0, 0)
 				r.Retry = true
 				out, _ := s.Submit(0, r)
-				repeats += len(placed(out))
+				retries += len(placed(out))
 			}
 		}
-		Expect(repeats).To(BeNumerically("<=", DefaultPolicy().RetryBurst))
+		Expect(retries).To(BeNumerically("<=", DefaultPolicy().RetryBurst))
 	})
 
 	It("have the whole budget again at a home", func() {
--- a/internal/sched/sizes.go
+++ b/internal/sched/sizes.go
@@ -17,7 +17,7 @@
 	// sizeDecay is the time constant with which older requests decay. It covers the answers of
 	// a few bursts, so that a class that was served a moment ago does not lose its share for good.
 	sizeDecay = 15 * time.Second
-	// minClassArrivals is the minimum of recent arrivals of a class before it counts as
+	// minClassArrivals is the minimum number of recent arrivals of a class for it to count as
 	// underserved.
 	minClassArrivals = 2
 )
@@ -43,7 +43,8 @@
 //
 // In an overload, serving short answers before long ones helps the most callers, but for the
 // callers of long answers it is an outage: each time they are delayed, become late and are
-// refused again. So no class is to be served less often than a fraction of the rate of its priority.
+// refused again. So the fraction of a class that is served must not fall too far below that
+// of its priority.
 type sizeStats struct {
 	sample       []time.Duration // of work; a ring buffer once it is full
 	next         int
@@ -80,8 +81,8 @@
 	}
 }
 
-// underserved reports whether a class was recently served less often than minShare of the
-// rate at which all requests of the priority were.
+// underserved reports whether the fraction of a class's recent requests that were served is
+// less than minShare of that fraction for all requests of the priority.
 func (z *sizeStats) underserved(now Time, class int, minShare float64) bool {
 	arrived, served := 0.0, 0.0
 	for i := range z.arrived {
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -7,20 +7,22 @@
 	"github.com/gentianflow/gentianflow/internal/quarantine"
 )
 
+// A suspect is a request under which at least one server has ended, and a recurrent suspect one
+// under which two or more have; package quarantine decides how they are treated.
 const (
 	// minRecurrentInterval is the minimum time between the starts, at one service, of requests
-	// under which two or more servers have ended. A poison request usually ends its server
-	// within half a second, so with this interval the ends caused by several poison requests
-	// can be told apart from each other and from the failure of a whole rack. With five poison
-	// requests at nine engines, each was detected by its third to fifth end, and without the
-	// interval by its ninth.
+	// that are recurrent suspects. A poison request, one that ends each server that runs it,
+	// usually does so within half a second, so with this interval the ends caused by several
+	// poison requests can be told apart from each other and from the failure of a whole rack.
+	// With five poison requests at nine engines, each was detected by its third to fifth end,
+	// and without the interval by its ninth.
 	minRecurrentInterval = 400 * time.Millisecond
 	// besideSuspectCost is the cost for a suspect of a server that runs another suspect. It
 	// separates the poison request from those that were lost with it, if another server has
 	// room.
 	besideSuspectCost = 2 * time.Second
-	// perNeighborCost is the cost, for a suspect under which two or more servers have ended,
-	// of each run at a server: it goes where the fewest runs would be lost.
+	// perNeighborCost is the cost, for a recurrent suspect, of each run at a server: it goes
+	// where the fewest runs would be lost.
 	perNeighborCost = 500 * time.Millisecond
 	// brokenAnswerMemory is how long a broken answer may still prove to be caused by the end
 	// of its server: the entry of a server expires 3 to 4 s after its end.
@@ -44,14 +46,15 @@
 	if !s.suspects.Has(r.Fingerprint) {
 		return quarantine.Unrestricted
 	}
-	return s.suspects.Judge(now, r.Fingerprint, peers{s.services[r.Service]})
+	return s.suspects.Judge(now, r.Fingerprint, serviceServers{s.services[r.Service]})
 }
 
-// peers gives the quarantine table access to the servers of a service.
-type peers struct{ svc *service }
+// serviceServers gives the quarantine table access to the servers of a service; svc is nil for an
+// unknown service.
+type serviceServers struct{ svc *service }
 
 // AnsweredSince implements quarantine.ServiceServers.
-func (p peers) AnsweredSince(since Time) bool {
+func (p serviceServers) AnsweredSince(since Time) bool {
 	if p.svc == nil {
 		return false
 	}
@@ -64,7 +67,7 @@
 }
 
 // UndetectedEnds implements quarantine.ServiceServers.
-func (p peers) UndetectedEnds(at Time) (n int) {
+func (p serviceServers) UndetectedEnds(at Time) (n int) {
 	if p.svc == nil {
 		return 0
 	}
@@ -98,7 +101,7 @@
 }
 
 // hasConflictingSuspect reports whether srv runs a suspect beside which r must not run: both
-// are suspects, and at least one has seen two or more servers end.
+// are suspects, and at least one is recurrent.
 func (s *Scheduler) hasConflictingSuspect(srv *server, r *Request) bool {
 	if !s.suspects.Has(r.Fingerprint) {
 		return false
@@ -129,7 +132,7 @@
 	return cost
 }
 
-// addCopies adds n to the number of runs of a request.
+// addCopies adds n to the number of copies of a request that run now.
 func (s *Scheduler) addCopies(f quarantine.Fingerprint, n int) {
 	if !f.Known() {
 		return
@@ -231,8 +234,8 @@
 }
 
 // recordIdleEnd records that a server without runs has ended at some time since it was last
-// known to be up. Servers that were leaving say nothing about other ends, and for servers with
-// runs the outcomes of the runs are recorded instead.
+// known to be up. The end of a server that was leaving is expected and not recorded; for
+// servers with runs the outcomes of the runs are recorded instead.
 func (s *Scheduler) recordIdleEnd(now Time, srv *server) {
 	if !srv.leaving && srv.running == 0 {
 		s.suspects.AddIdleEnd(srv.ID, max(now-s.entryTTL, srv.firstListedAt, srv.lastAnswerAt), now)
@@ -261,8 +264,8 @@
 	return s.out
 }
 
-// TakeSuspectChanges returns the records of requests that end servers that changed since the last
-// call.
+// TakeSuspectChanges returns those records of requests that end servers which have changed since
+// the last call.
 func (s *Scheduler) TakeSuspectChanges(now Time) []quarantine.Record {
 	return s.suspects.TakeChanges(now)
 }
--- a/internal/sched/suspects_test.go
+++ b/internal/sched/suspects_test.go
@@ -200,6 +200,6 @@
 				d.finish(now+10*ms, k, OK)
 			}
 		}
-		Expect(d.servers["e0"].failureAverage).To(BeNumerically(">", 0.2))
+		Expect(d.servers["e0"].failureRate).To(BeNumerically(">", 0.2))
 	})
 })
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -3,9 +3,13 @@
 // state machine: each call is given the time, and nothing in it reads a clock, does I/O or
 // starts a goroutine, so the daemon and the tests run the same code.
 //
+// Submit queues a Request, Finish ends its run (its execution at the server where it was
+// placed), and Tick handles the passing of time. Each returns the Decisions made. Policy
+// holds the parameters.
+//
 // One Scheduler, on the home (the entry host that runs the scheduler), serves all entry
-// hosts. A host that has lost its home runs a Scheduler of its own with a share of each
-// server, quota and retry budget.
+// hosts. A host that has lost its home schedules alone: it runs a Scheduler of its own with
+// a share of each server, quota and retry budget.
 package sched
 
 import (
@@ -41,7 +45,7 @@
 	StartedMs int64         // start time in Unix milliseconds by its own clock, 0 if unknown
 }
 
-// Account is a client account and its quota.
+// Account is a client account and its quota, in the units of Request.Units.
 type Account struct {
 	Name  string
 	Rate  float64 // units per second over all hosts, 0 for no limit
@@ -72,18 +76,18 @@
 	OutputTokens  int     // expected, 0 for a plain call
 	Units         float64 // charged to the account's quota
 	PromptParts   []Part
-	Arrived       Time // first placement request of the first holder
+	Arrived       Time // when its first holder first requested a placement
 	LatencyTarget Time // for the first event of a stream or the whole answer of a plain call
 	// CallerTimeoutAt is when the caller gives up if it has received no event,
 	// 0 if it waits until its deadline. Callers of streams give up well before the deadline.
 	CallerTimeoutAt Time
 	Deadline        Time
-	MaxPause        time.Duration // longest pause between events for a stream to count as on time, 0 for no bound
-	Retry           bool          // a retry, which draws on the service's retry budget
-	Avoid           []string      // servers that were already tried
-	Fingerprint     quarantine.Fingerprint
-	Route           string
-	Interruptible   bool // its run may be interrupted and repeated or resumed elsewhere
+	MaxPause        time.Duration          // longest pause between events for a stream to count as on time, 0 for no bound
+	Retry           bool                   // sent again by its holder after a failed run; draws on the service's retry budget
+	Avoid           []string               // servers that were already tried
+	Fingerprint     quarantine.Fingerprint // the same for all attempts of a request
+	Route           string                 // name of the configured route; trials of new versions compare answers by route
+	Interruptible   bool                   // its run may be interrupted and repeated or resumed elsewhere
 }
 
 // Result is how a run ended.
@@ -108,7 +112,7 @@
 	ServerError
 	// Broken: the answer was lost or cut off, and the server still accepts connections.
 	Broken
-	// Unresponsive: the server stopped answering, including new connections.
+	// Unresponsive: the server stopped answering and does not answer new connections either.
 	Unresponsive
 	// Progress: the run continues; only its time per output token is reported.
 	Progress
@@ -117,8 +121,8 @@
 	Stalled
 	// ServerEnded: the answer was lost or cut off, and nothing listens at the server's address.
 	ServerEnded
-	// UnattributedError: the server answered with an error that the request itself may have caused;
-	// the answer of another server decides.
+	// UnattributedError: the server answered with an error that the request itself may have
+	// caused; the answer of another server decides which of them is at fault.
 	UnattributedError
 )
 
@@ -148,7 +152,7 @@
 	Elapsed       time.Duration
 	MaxPause      time.Duration
 	Account       string
-	Fingerprint   quarantine.Fingerprint
+	Fingerprint   quarantine.Fingerprint // the same for all attempts of a request
 	Interruptible bool
 }
 
@@ -191,7 +195,9 @@
 }
 
 // Decision is the scheduler's decision on one request. Server is set if the request is
-// placed; otherwise Reason and RetryAfter are set.
+// placed; otherwise Reason and RetryAfter are set. A decision with the reason Quarantined
+// may also concern a request that was placed earlier: it asks the holder to cancel the run
+// if it has had no event yet.
 type Decision struct {
 	Key
 	Server     string
