--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -63,7 +63,7 @@
 func (x *exchange) copyHeader(status int, from http.Header) {
 	h := x.w.Header()
 	for name, values := range from {
-		if !hopHeader(name) && name != "Content-Length" {
+		if !isHopByHop(name) && name != "Content-Length" {
 			h[name] = values
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func hopHeader(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Upgrade", "Te", "Trailer", "Proxy-Connection":
 		return true
@@ -81,7 +81,8 @@
 }
 
 // forwardUnbuffered forwards an answer that is too long to be buffered. If the answer is
-// cut off, the connection to the caller is closed so that it does not look complete.
+// cut off, abort closes the connection to the caller, so that the answer does not look
+// complete.
 func (t *attempt) forwardUnbuffered(ctx context.Context, resp *http.Response, a *answer) nextStep {
 	x := t.x
 	t.setReadTimeout(ctx, 0)
--- a/internal/entry/callerconn.go
+++ b/internal/entry/callerconn.go
@@ -19,8 +19,8 @@
 //
 // A host that was paused reads requests whose callers have disconnected in the meantime.
 // The context of such a request is canceled only when another goroutine reads the end of
-// the connection, which may be after the request was sent to a server, which would then
-// run it for nobody.
+// the connection. Until then the request may be sent to a server, which would run it for
+// nobody.
 //
 // The descriptor is peeked at without the read lock, which that goroutine holds.
 func callerDisconnected(ctx context.Context) bool {
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -2,6 +2,10 @@
 // route and the client account, requests a placement from the scheduler, sends the
 // request to the backend server of the placement and forwards the answer. It holds the
 // request until the caller has its one final answer.
+//
+// Handler is the http.Handler for callers. An exchange is one caller's request, and an
+// attempt is one send of it to one server. The Placer provides the placements, and the
+// Dialect converts the platform's header fields.
 package entry
 
 import (
@@ -16,11 +20,11 @@
 type RequestHead struct {
 	ID           string        // of this attempt by the caller
 	Deadline     time.Duration // how long the caller waits, 0 if not given
-	Key          string        // of the client account
+	Key          string        // of the client account, empty if not given
 	PromptTokens int
-	OutputTokens int // maximum
-	OutputHint   int // the caller's estimate, 0 if not given
-	HasTokens    bool
+	OutputTokens int          // maximum that the caller allows
+	OutputHint   int          // the caller's estimate, 0 if not given
+	HasTokens    bool         // the token counts are given
 	Parts        []sched.Part // of the prompt, in order
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -21,21 +21,28 @@
 
 // Placer provides placements: permissions to send a request once to a server.
 type Placer interface {
+	// Acquire waits for a placement. Finish must be called for each placement.
 	Acquire(ctx context.Context, ask *dispatch.PlacementRequest) (dispatch.Placement, error)
+	// Finish reports how the run of a placement ended, or the progress of a run that
+	// continues.
 	Finish(id uint64, result sched.Result, timeToFirst, tokenTime time.Duration)
+	// RecordServerFault reports that a server failed a request which another server then
+	// answered.
 	RecordServerFault(server string)
+	// OnRevoke sets f to be called when the placement is revoked because its request was
+	// put in quarantine.
 	OnRevoke(id uint64, f func(*dispatch.Refused))
-	// RecordNotice records the notice in a server's answer, ServerNotice returns what a server has
-	// stated so far.
+	// RecordNotice records the notice in a server's answer.
 	RecordNotice(server string, n notice.Notice) (change notice.Change, changed bool)
+	// ServerNotice returns what a server has stated so far.
 	ServerNotice(server string) notice.State
 }
 
 const (
 	// configWaitShare is the share of its time, and configWait the maximum time, that a
-	// request waits for the first configuration of a host that has just started. A
-	// restarted fleet has one within 0.4 s, while a refused caller comes back only after
-	// seconds and has used up an attempt.
+	// request waits for the first configuration of a host that has just started. The hosts
+	// of a restarted fleet have one within 0.4 s, while a refused caller comes back only
+	// after seconds and has used up an attempt.
 	configWaitShare = 0.3
 	configWait      = 1 * time.Second
 	// noConfigRetryAfter is the Retry-After of a host without a configuration. A host that
@@ -70,7 +77,7 @@
 }
 
 // NewHandler returns a handler for callers.
-func NewHandler(src Dependencies) *Handler { return &Handler{Dependencies: src} }
+func NewHandler(deps Dependencies) *Handler { return &Handler{Dependencies: deps} }
 
 // Leave makes answers close their connections, so that callers look up another host.
 func (h *Handler) Leave() { h.leaving.Store(true) }
@@ -112,10 +119,10 @@
 	tried         []string           // servers not to be tried again
 	isRetry       bool               // the request was sent before
 	errorServer   string             // the server that sent errorAnswer
-	placement     dispatch.Placement // the newest one
-	serverNotice  string             // the notice of its server at the time of the send, for the log
+	placement     dispatch.Placement // the newest placement
+	serverNotice  string             // what its server had stated when the request was sent there, for the log
 	errorAnswer   *answer            // a server's error, forwarded if no other server answers
-	waited        time.Duration      // for placements
+	waited        time.Duration      // total time spent waiting for placements
 	refusalDetail string             // the scheduler's detail of a refusal, for the log
 	timeToFirst   time.Duration      // from the newest send to its first event or complete answer
 	stream        stream
@@ -229,7 +236,7 @@
 
 // placementRequest describes the request to the scheduler.
 func (x *exchange) placementRequest() *dispatch.PlacementRequest {
-	a := &dispatch.PlacementRequest{
+	req := &dispatch.PlacementRequest{
 		Request: x.head.ID, Service: x.service, Priority: priority(x.route, x.account),
 		PromptTokens: x.head.PromptTokens, OutputTokens: x.expectedOutput(), PromptParts: x.head.Parts,
 		Arrived: x.arrived, LatencyTarget: x.arrived.Add(x.route.LatencyTarget), Deadline: x.deadline,
@@ -237,24 +244,25 @@
 		Route: x.route.Name, Repeatable: x.route.Repeatable(),
 	}
 	if x.account != nil {
-		a.Account = x.account.Name
+		req.Account = x.account.Name
 		if x.runs == 0 {
-			a.Units = x.units() // a retry was charged before
+			req.Units = x.units() // a request that may have run was charged before
 		}
 	}
 	now := time.Now()
 	since := x.arrived
 	if x.stream.events > 0 {
-		a.LatencyTarget = now // the caller waits for the next event
+		req.LatencyTarget = now // the caller waits for the next event
 		since = x.stream.newestAt
 	}
 	if x.route.CallerTimeout > 0 {
-		a.CallerTimeoutAt = since.Add(x.route.CallerTimeout)
+		req.CallerTimeoutAt = since.Add(x.route.CallerTimeout)
 	}
-	return a
+	return req
 }
 
-// routePriorityLevels is the number of route priorities that are told apart.
+// routePriorityLevels is the number of route priorities that are distinguished. Higher ones
+// count as the last.
 const routePriorityLevels = 1000
 
 // priority orders requests by account, and by route within the same account priority.
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -70,7 +70,7 @@
 	x.fail(status, code, max(minRetryAfter, refused.RetryAfter), refused.Error())
 }
 
-// refuse answers a request that was not admitted.
+// refuse answers a request that was not admitted, or aborts it if the caller withdrew it.
 func (x *exchange) refuse(err error) {
 	e := failure.From(err)
 	if e.Code == failure.Withdrawn {
@@ -107,7 +107,7 @@
 }
 
 // abort closes the caller's connection, so that a partly written answer does not look
-// complete.
+// complete. It does not return: it panics with http.ErrAbortHandler.
 func (x *exchange) abort(reason string) {
 	x.recordEvent(event.RequestCut, reason)
 	panic(http.ErrAbortHandler)
@@ -117,12 +117,12 @@
 func (x *exchange) recordEvent(code event.Code, detail string) {
 	f := event.Fields{Request: x.head.ID, Service: x.service, Server: x.placement.Server, Detail: detail}
 	if x.route != nil {
-		f.Detail += " route=" + x.route.Name + " aim=" + milliseconds(x.route.LatencyTarget)
+		f.Detail += " route=" + x.route.Name + " aim=" + formatDuration(x.route.LatencyTarget)
 	}
 	if x.account != nil {
 		f.Detail += " account=" + x.account.Name + " units=" + strconv.Itoa(x.units())
 	}
-	f.Detail += " waited=" + milliseconds(x.waited) + " first=" + milliseconds(x.timeToFirst) + " after=" + milliseconds(time.Since(x.arrived)) +
+	f.Detail += " waited=" + formatDuration(x.waited) + " first=" + formatDuration(x.timeToFirst) + " after=" + formatDuration(time.Since(x.arrived)) +
 		" sends=" + strconv.Itoa(x.sends) + " runs=" + strconv.Itoa(x.runs)
 	if x.placement.Server != "" {
 		f.Detail += " " + placementFields(x.placement) + x.serverNotice
@@ -137,7 +137,7 @@
 		f.Detail += " " + x.refusalDetail
 	}
 	if x.stream.events > 1 {
-		f.Detail += " pause=" + milliseconds(x.stream.maxPause) + " most=" + milliseconds(x.route.EventGapTarget)
+		f.Detail += " pause=" + formatDuration(x.stream.maxPause) + " most=" + formatDuration(x.route.EventGapTarget)
 	}
 	x.h.Events.Record(code, f)
 }
@@ -149,7 +149,8 @@
 	if p.Local {
 		by = "self"
 	}
-	return "placed=" + by + " list=" + milliseconds(p.ListAge)
+	return "placed=" + by + " list=" + formatDuration(p.ListAge)
 }
 
-func milliseconds(d time.Duration) string { return d.Round(time.Millisecond).String() }
+// formatDuration formats a duration, rounded to milliseconds.
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -34,10 +34,10 @@
 		text += " leaving"
 	}
 	if backoff := s.Backoff(now); backoff > 0 {
-		text += " rests=" + milliseconds(backoff)
+		text += " rests=" + formatDuration(backoff)
 	}
 	if text != "" {
-		text += " said=" + milliseconds(s.Age(now))
+		text += " said=" + formatDuration(s.Age(now))
 	}
 	return text
 }
--- a/internal/entry/silence.go
+++ b/internal/entry/stall.go
@@ -27,7 +27,8 @@
 	return firstEventTimeout
 }
 
-// setReadTimeout bounds the next read by d, or only by the deadline when d is 0.
+// setReadTimeout bounds the next read by d, or only by the deadline when d is 0, and
+// restarts the delay of the stall check.
 func (t *attempt) setReadTimeout(ctx context.Context, d time.Duration) {
 	until := t.x.deadline
 	if d > 0 {
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -121,7 +121,7 @@
 	return 1
 }
 
-// forwardEvents writes complete events and records how far the caller is.
+// forwardEvents writes complete events and records the caller's position in the stream.
 func (x *exchange) forwardEvents(resp *http.Response, events []byte) error {
 	x.beginStream(resp)
 	if _, err := x.w.Write(events); err != nil {
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -28,12 +28,12 @@
 	// minRetryTime is the shortest remaining time in which another run can still succeed.
 	minRetryTime = 30 * time.Millisecond
 	// maxSends bounds the servers that one request is sent to, whether they run it or not,
-	// since each send counts as an arrival there.
+	// since each of them counts the request as an arrival.
 	maxSends = 3
 	// safeCallTimeout is how long a server may take to answer a safe plain call while
 	// another server can be tried: twice the longest time of such a call at a healthy server.
 	safeCallTimeout = 220 * time.Millisecond
-	// firstEventTimeout and nextEventTimeout are the same for a resumable stream, before
+	// firstEventTimeout and nextEventTimeout are the same limit for a resumable stream, before
 	// its first event and between events. Callers abandon a stream after a pause of 4 s,
 	// and a run at another server needs about 1 s to begin.
 	firstEventTimeout = 3 * time.Second
@@ -44,7 +44,8 @@
 	stallCheckDelay   = 700 * time.Millisecond
 	stallDialTimeout  = 300 * time.Millisecond
 	stallDialAttempts = 2
-	// minDialTimeout and maxDialTimeout bound the time for a connection attempt.
+	// minDialTimeout and maxDialTimeout bound the time for a connection attempt, which is
+	// otherwise half of the route's latency target.
 	minDialTimeout = 60 * time.Millisecond
 	maxDialTimeout = 300 * time.Millisecond
 )
@@ -157,7 +158,7 @@
 		return t.handleUnreachable(ctx, err)
 	}
 	x.sends++
-	x.runs++ // unless the server states that it did not run it
+	x.runs++ // handleNotRun subtracts it again
 	x.isRetry = true
 	if err != nil {
 		return t.handleLost(ctx, err)
@@ -202,7 +203,7 @@
 	if !mayAskBackoff(resp.StatusCode) {
 		head.Notice.Backoff = 0
 	}
-	if resp.StatusCode != http.StatusMisdirectedRequest { // else another server incarnation answered
+	if resp.StatusCode != http.StatusMisdirectedRequest { // sent by another server incarnation
 		x.recordNotice(t.placement.Server, head.Notice)
 	}
 	if head.NotRun {
@@ -256,7 +257,7 @@
 	}
 	x.h.Places.Finish(t.placement.ID, result, 0, 0)
 	x.tried = append(x.tried, t.placement.Server)
-	x.recordEvent(event.ServerRejected, "status "+strconv.Itoa(resp.StatusCode)+" rest="+milliseconds(backoff))
+	x.recordEvent(event.ServerRejected, "status "+strconv.Itoa(resp.StatusCode)+" rest="+formatDuration(backoff))
 	if x.sends >= maxSends {
 		x.giveUp(x.r.Context(), &dispatch.Refused{Decision: sched.Decision{Reason: sched.Overload, RetryAfter: rejectedRetryAfter}})
 		return done
@@ -267,7 +268,8 @@
 // rejectedRetryAfter is the Retry-After when servers rejected the request.
 const rejectedRetryAfter = 300 * time.Millisecond
 
-// handleServerError handles an error status of a server. A safe request tries another one.
+// handleServerError handles an error status of a server. A request that may run again is
+// retried at another server.
 func (t *attempt) handleServerError(a *answer) nextStep {
 	x := t.x
 	result := sched.ServerError
@@ -353,6 +355,6 @@
 	x.h.Meter.ServerEnded()
 	x.h.Events.Record(event.ServerEnded, event.Fields{
 		Request: x.head.ID, Service: x.service, Server: t.placement.Server,
-		Detail: "fingerprint=" + x.fingerprint.String() + " ran=" + milliseconds(ran),
+		Detail: "fingerprint=" + x.fingerprint.String() + " ran=" + formatDuration(ran),
 	})
 }
