--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,8 +1,11 @@
 // Package upstream sends requests to backend servers over persistent connections and
-// distinguishes the ways an exchange can end. It sends each request exactly once, since
-// the user of the package decides about retries. Therefore it manages connections itself
-// instead of using net/http's Transport, which retries some requests when an idle
+// distinguishes the ways an exchange can end. It sends each request once and never retries
+// it, since the user of the package decides about retries. Therefore it manages connections
+// itself instead of using net/http's Transport, which retries some requests when an idle
 // connection breaks.
+//
+// A Pool holds the idle connections of a host. Pool.Get hands a Conn to its user, who sends
+// one request on it and then returns it with Release or ends it with Close.
 package upstream
 
 import (
@@ -26,7 +29,7 @@
 	// server may answer before it has read a larger body, and then both ends would wait
 	// for each other.
 	maxInlineBodyBytes = 8 << 10
-	// maxStaleAnswers bounds the answers to earlier requests that are skipped.
+	// maxStaleAnswers bounds the late answers to earlier requests that are skipped.
 	maxStaleAnswers = 2
 )
 
@@ -39,7 +42,8 @@
 	Body   []byte
 }
 
-// Conn is a connection to one backend server. One goroutine uses it at a time.
+// Conn is a connection to one backend server. One goroutine uses it at a time; only Close may
+// be called from others meanwhile.
 type Conn struct {
 	net           net.Conn
 	r             *bufio.Reader
@@ -56,7 +60,7 @@
 // Reused reports whether the connection was used for an earlier request.
 func (c *Conn) Reused() bool { return c.reused }
 
-// AnswerStarted reports whether an answer has begun to arrive since the newest request.
+// AnswerStarted reports whether an answer header has arrived since the newest request.
 func (c *Conn) AnswerStarted() bool { return c.answerStarted }
 
 // Close closes the connection; the server then stops the request that it runs.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -96,7 +96,7 @@
 // before any answer arrived, since the others are as likely to be dead.
 func (p *Pool) CloseIdle(s Server) { p.Retain(func(have Server) bool { return have != s }) }
 
-// expire closes c if it has been idle for keepFor without a use.
+// expire closes c if it is still in the pool and has been idle for keepFor.
 func (p *Pool) expire(c *Conn, keepFor time.Duration) {
 	p.mu.Lock()
 	list := p.idle[c.server]
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,14 +22,14 @@
 	RunSpecs(t, "upstream")
 }
 
-// rawServer serves each connection with a function and passes on the requests that it
-// read.
+// rawServer serves each connection with a function and sends the requests that it read to
+// a channel.
 type rawServer struct {
 	l        net.Listener
 	requests chan *http.Request
 }
 
-func serveRaw(each func(conn net.Conn, r *bufio.Reader, s *rawServer)) *rawServer {
+func serveRaw(handle func(conn net.Conn, r *bufio.Reader, s *rawServer)) *rawServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	s := &rawServer{l: l, requests: make(chan *http.Request, 64)}
@@ -40,7 +40,7 @@
 			if err != nil {
 				return
 			}
-			go each(conn, bufio.NewReader(conn), s)
+			go handle(conn, bufio.NewReader(conn), s)
 		}
 	}()
 	return s
