--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,5 +1,5 @@
 // Package notice holds server notices: what backend servers state about themselves in the
-// header of their answers.
+// header of their answers. A Table holds the current notice of each server.
 package notice
 
 import (
@@ -11,12 +11,12 @@
 type Notice struct {
 	Limit   Limit
 	Leaving bool // the server accepts no new requests
-	// Backoff is the time that the server asks of the host that it rejected with this answer,
-	// 0 for none.
+	// Backoff is how long the server asks the host that it rejected with this answer to send
+	// it no requests, 0 if it asks for none.
 	Backoff time.Duration
 }
 
-// MaxBackoff is the longest backoff that is granted to a server.
+// MaxBackoff is the longest backoff that a server is granted on its own statement alone.
 const MaxBackoff = 5 * time.Minute
 
 // UnlistedRetention is how long the notice of an unlisted server is kept: it may arrive before
--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -36,9 +36,10 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{servers: map[string]State{}} }
 
-// Update records the notice in an answer. Leaving is permanent, since a leaving server does
-// not come back. A backoff is not shortened by a later one that ends sooner, nor ended by
-// answers to requests that were sent before it.
+// Update records the notice in an answer and reports whether it differs from the one recorded
+// before. Leaving is permanent, since a leaving server does not come back. A backoff is not
+// shortened by a later one that ends sooner, nor ended by answers to requests that were sent
+// before it.
 func (t *Table) Update(now time.Time, server string, n Notice) (c Change, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +58,7 @@
 	return c, c.Before != c.After
 }
 
-// Get returns the state of a server.
+// Get returns the state of a server, the zero State if it has stated nothing.
 func (t *Table) Get(server string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +97,7 @@
 	return c
 }
 
-// Retain removes the servers that listed does not report and whose newest answer is older
+// Retain removes the servers for which listed returns false and whose newest answer is older
 // than UnlistedRetention.
 func (t *Table) Retain(now time.Time, listed func(server string) bool) {
 	t.mu.Lock()
