--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -36,8 +36,8 @@
 			fault("account %q: rate and burst are 0 (no limit) or more", a.Name)
 		}
 		for _, key := range a.Keys {
-			if holder, taken := keys[key]; taken {
-				fault("account %q has a key of account %q", a.Name, holder)
+			if owner, taken := keys[key]; taken {
+				fault("account %q has a key of account %q", a.Name, owner)
 			}
 			keys[key] = a.Name
 		}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
 // Package routing holds the configuration in force on a host: the service of a request,
 // whether the request may be retried, and who may send it. A Table is an immutable
-// snapshot and is replaced as a whole by a newer version.
+// snapshot and is replaced as a whole by a newer version; Current holds the one in force.
 package routing
 
 import (
@@ -38,13 +38,13 @@
 	Kind           Kind
 	Timeout        time.Duration // longest that a caller waits
 	LatencyTarget  time.Duration // for the first event of a stream or the whole answer of a plain call
-	EventGapTarget time.Duration // for the pause between events
-	CallerTimeout  time.Duration // a stream's caller leaves after so long without an event, 0: at its deadline
+	EventGapTarget time.Duration // longest pause between events that is on time
+	CallerTimeout  time.Duration // how long a stream's caller waits for an event, 0: until its deadline
 	Priority       int           // 0 is the most urgent
 	Targets        []Target
-	MaxAttempts    int // maximum number of servers for one attempt of a caller
-	Public         bool
-	Resumable      bool
+	MaxAttempts    int  // maximum number of servers for one attempt of a caller
+	Public         bool // needs no account key
+	Resumable      bool // a stream may be resumed at another server
 }
 
 // Target is a service with its share of a route's requests.
