--- a/internal/store/order.go
+++ b/internal/store/order.go
@@ -16,9 +16,9 @@
 }
 
 // peers splits the other hosts into those that this host asks before it reads the store, and
-// those that it asks when the store doesn't answer. Readers ask only the home first and then
-// all read the store in parallel: the store may refuse several of them together, and each takes
-// seconds to detect that.
+// those that it asks when the store doesn't answer. Readers ask only the home first, and then
+// all read the store in parallel instead of asking each other: the store may refuse several of
+// them together, and each takes seconds to detect that.
 func (o ReaderOrder) peers() (before, after []string) {
 	switch {
 	case o.Self < 0:
--- a/internal/store/pack.go
+++ b/internal/store/pack.go
@@ -95,7 +95,7 @@
 	if len(reply.Packed) > 0 {
 		data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(reply.Packed)), maxUncompressed))
 		if err != nil {
-			return nil, failure.Wrap(failure.BadFrame, err, "unpack rows")
+			return nil, failure.Wrap(failure.BadFrame, err, "decompress rows")
 		}
 		m := &wire.TableRows{}
 		if err := proto.Unmarshal(data, m); err != nil {
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -13,7 +13,7 @@
 	// staleAfter is how long after the store's last answer a relay still answers other hosts.
 	staleAfter = 2 * time.Second
 	// minOutage is the shortest outage of the store that is reported to other hosts. Server
-	// entries expire after twice as long.
+	// entries expire after twice this time.
 	minOutage = 1 * time.Second
 	// maxHistory is the maximum number of changes kept for a table; hosts that are further
 	// behind read the whole table. It exceeds the 3,000 backend servers of the largest fleet,
@@ -34,13 +34,13 @@
 	// of another relay don't count: two hosts that follow each other would take each other's
 	// answers for the store's.
 	lastAnswer    time.Time
-	failed        bool // the store failed to answer at least once
+	failed        bool // the store has failed to answer this host at least once
 	changed       chan struct{}
 	cachedReplies []compressedRows // newest last
 	// releaseCount is the number of calls of release.
 	releaseCount int
 	gap          time.Duration // length of the store's newest outage, 0 if none
-	returned     time.Time     // end of that outage
+	outageEnd    time.Time     // end of that outage
 }
 
 // NewRelay returns an empty relay, which can't answer calls until the first Apply.
@@ -58,7 +58,7 @@
 		r.lastAnswer = now
 	}
 	if u.Gap > minOutage {
-		r.gap, r.returned = u.Gap, now
+		r.gap, r.outageEnd = u.Gap, now
 	}
 	rows := u.Rows
 	if u.Whole {
@@ -136,13 +136,13 @@
 
 // outage returns how long the store's newest outage lasted and how long ago it ended, in
 // milliseconds, or 0 if there was none.
-func (r *Relay) outage() (gap, returned uint32) {
+func (r *Relay) outage() (lengthMs, endedAgoMs uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.gap == 0 {
 		return 0, 0
 	}
-	return uint32(r.gap.Milliseconds()), uint32(time.Since(r.returned).Milliseconds())
+	return uint32(r.gap.Milliseconds()), uint32(time.Since(r.outageEnd).Milliseconds())
 }
 
 // firstReadWait is how long a full read waits at a host that has not yet read the table itself:
@@ -163,6 +163,8 @@
 	return rows, r.version, nil
 }
 
+// awaitFirstRead waits until this host has read the table, or failed to read it, for the first
+// time.
 func (r *Relay) awaitFirstRead(ctx context.Context) {
 	r.mu.Lock()
 	readTried, changed := r.version > 0 || r.failed, r.changed
@@ -182,7 +184,7 @@
 // errStale makes the caller try the next reader or the store.
 var errStale = failure.New(failure.StoreDown, "the relay has no fresh answer of the store")
 
-// Changes waits up to wait for changes after a version, or until release. It fails with
+// Changes waits up to wait for changes after a version, or until release is called. It fails with
 // StoreDown if the relay's data is stale, with HistoryLost if after is older than the history.
 func (r *Relay) Changes(ctx context.Context, after int64, wait time.Duration) ([]Row, int64, error) {
 	timer := time.NewTimer(wait)
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -328,7 +328,7 @@
 
 	// The operator changes the configuration again while the store doesn't answer its readers.
 	// Hosts that had read the store once waited up to 4.7 s until their next read.
-	It("lets each host read it again within four seconds", func() {
+	It("lets each host read the store again within four seconds", func() {
 		const watched = 30
 		done := make(chan time.Duration, watched)
 		for range watched {
@@ -375,8 +375,8 @@
 		Expect(calls).To(BeNumerically("<", 5+share))
 	})
 
-	// The store returns after an outage for all hosts. Hosts that had no call open when it
-	// began took it for a short one, and dropped servers whose entries had expired in it.
+	// The store returns after an outage for all hosts. Hosts that had no call open when the
+	// outage began took it for a short one, and dropped servers whose entries had expired in it.
 	It("returns the length of the store's outage as its reader observed it", func() {
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
@@ -426,7 +426,7 @@
 	})
 
 	// A call that waits for changes at the home is open for seconds. If the home ends in that
-	// time, the store was not unavailable since the call began.
+	// time, this does not mean that the store was unavailable since the call began.
 	It("does not count a relay without changes as an outage", func() {
 		relays := store.NewRelays()
 		relays.Table("t").Apply(wholeTable(5, "relayed"))
--- a/internal/store/relayed.go
+++ b/internal/store/relayed.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// relayWait is how long a call to a relay waits for changes. Longer waits delay nothing: a
-	// relay that becomes stale ends its calls, and a host that stops answering loses its
-	// sessions. Each call costs the home two messages for each host and table.
-	relayWait        = 5 * time.Second
+	// relayWait is how long a call to a relay waits for changes. A long wait delays nothing: a
+	// relay that becomes stale ends its calls, and the sessions with a host that stops answering
+	// are closed. Each call costs the home two messages for each host and table.
+	relayWait = 5 * time.Second
+	// relayMargin is the time allowed for the transfer of a call and its reply.
 	relayMargin      = 1500 * time.Millisecond
 	relayDialTimeout = 300 * time.Millisecond
-	// minHeldCall is the duration from which a failed call counts as one that a reader with a
-	// fresh answer had held open: a reader without one lets a call wait for firstReadWait at
+	// minHeldCall is the duration from which a failed call shows that its reader had a fresh
+	// answer when the call began: a reader without one lets a call wait for firstReadWait at
 	// most.
 	minHeldCall = 2 * firstReadWait
 	// relayPause is how long a reader that had no fresh answer, or did not answer, is not asked
@@ -38,12 +39,12 @@
 	// store doesn't answer, and other hosts to detect that this host is gone.
 	outageDetectionTime = 1500 * time.Millisecond
 	// followerReadSpacing is the time between two calls to the store by all followers together,
-	// while no reader or standby has a fresh answer: 125 calls a second, and two thirds of that
-	// from the second round on. Otherwise an unavailable store would get calls from all hosts
-	// at once, and each call is billed.
+	// while no reader or standby has a fresh answer: 125 calls a second in the first round, in
+	// which each follower calls once, and two thirds of that from the second round on. Otherwise
+	// an unavailable store would get calls from all hosts at once, and each call is billed.
 	followerReadSpacing   = 8 * time.Millisecond
 	maxRoundsBetweenReads = 2
-	// turnCheckPeriod is how often a host checks whether its turn has come.
+	// turnCheckPeriod is how often a host checks whether its turn to read the store has come.
 	turnCheckPeriod = 300 * time.Millisecond
 )
 
@@ -53,8 +54,9 @@
 //
 // The store may refuse the home and serve others, or be unavailable to all, and each call is
 // billed. Therefore the other readers read it next, then the standbys, and the followers take
-// turns only when none of these has a fresh answer. A follower that takes turns has data that
-// is seconds old, and so would a home that the store refuses: it asks the other hosts as well.
+// turns only when none of these has a fresh answer. The data of a follower that takes turns is
+// seconds old. So would be the data of a home that the store refuses; therefore the home also
+// asks the other hosts.
 type RelayedTables struct {
 	direct             Tables
 	readers            Readers
@@ -68,7 +70,7 @@
 	newestVersion      int64            // newest version seen; a relay may be behind
 	lastAnswer         time.Time        // when the store last answered this host or its reader
 	lastConfirmed      time.Time        // latest time at which the store has certainly answered
-	interrupted        bool             // since then a call to the store failed or the followed reader was lost
+	interrupted        bool             // a call to the store failed or the followed reader was lost since the newest answer
 	gap                time.Duration    // outage of the store before the newest answer
 	answeredBy         string           // the reader that gave the newest answer, empty for the store
 	lastOutageEnd      time.Time        // end of the newest outage that a relay reported
@@ -160,8 +162,8 @@
 }
 
 // mayRead reports whether this host may read the store now. A reader or standby may, unless the
-// store recently failed to answer it. A follower may at a random time, chosen so that all
-// followers together keep to followerReadSpacing.
+// store recently failed to answer it. A follower may from a random time on, which is chosen so
+// that all followers together keep to followerReadSpacing.
 func (r *RelayedTables) mayRead(now time.Time, role Role) bool {
 	if role != Follower {
 		return now.Sub(r.storeFailedAt) >= r.backoff()
@@ -268,7 +270,8 @@
 	return errStale
 }
 
-// readerLost records that the reader that was followed has no fresh answer any more. It had one
+// readerLost records that the reader that was followed has no fresh answer any more. The store's
+// last answer is taken to be outageDetectionTime old at most, since the reader had a fresh one
 // until it detected the outage, or until it was gone.
 func (r *RelayedTables) readerLost() {
 	if detected := time.Now().Add(-outageDetectionTime); detected.After(r.lastAnswer) {
@@ -279,8 +282,8 @@
 }
 
 // reportedGap returns the length of the outage that a reader reports, if the outage ended after
-// the newest answer. If the store has answered this host or another reader during it, it was
-// unavailable only to that reader.
+// the newest answer. If the store answered this host or another reader during the outage, only
+// the reporting reader was cut off from the store.
 func (r *RelayedTables) reportedGap(reader string, reply *wire.TableReply, now time.Time) time.Duration {
 	if reply.GapMs == 0 {
 		return 0
@@ -342,9 +345,9 @@
 		return nil
 	}
 	r.close()
-	dial, cancel := context.WithTimeout(ctx, relayDialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, relayDialTimeout)
 	defer cancel()
-	st, err := r.readers.Open(dial, name)
+	st, err := r.readers.Open(dialCtx, name)
 	if err != nil {
 		return err
 	}
--- a/internal/store/relays.go
+++ b/internal/store/relays.go
@@ -29,9 +29,10 @@
 	return s.tables[name]
 }
 
-// EndWaits ends all waiting calls after the first reader of the store has changed. Without it, a
-// host that becomes the first reader could still wait at its predecessor, which now asks the
-// new one: each would wait for the other, and nobody would read the store.
+// EndWaits ends all waiting calls after the first reader of the store has changed. Otherwise a
+// host that becomes the first reader could still wait at its predecessor, while the predecessor
+// already asks the new first reader: each would wait for the other, and nobody would read the
+// store.
 func (s *Relays) EndWaits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,11 @@
 // Package store follows the tables of the platform's store: the operator's configuration, the
 // backend servers and the entry hosts. The store may be slow, unavailable or partitioned from
 // this host, or may lose its change history; the data read last stays in force meanwhile.
+//
+// A Watcher follows one table. Calls to the store are billed, so only a few hosts, the readers,
+// read it for all others; the first reader is the home, the host that runs the scheduler. A
+// reader serves what it reads to other hosts through a Relay, and RelayedTables reads a table
+// through the relays of other hosts.
 package store
 
 import (
@@ -70,11 +75,12 @@
 
 const (
 	// changeWait is how long one call waits for changes. A dead connection is detected only
-	// after it, so it stays well below the time within which a leaving server must be noticed.
+	// after this time, which is therefore well below the time within which a leaving server
+	// must be noticed.
 	changeWait = 700 * time.Millisecond
-	// RereadStore is the interval between full reads of the store: a change feed that was cut
-	// off reports no error. RereadRelay is the same for the home's relay, which rereads the
-	// store itself.
+	// RereadStore is the interval between full reads of the store, needed since a change feed
+	// that was cut off reports no error. RereadRelay is the same for the home's relay, which
+	// rereads the store itself.
 	RereadStore = 10 * time.Second
 	RereadRelay = 60 * time.Second
 	// batchDelay is the pause after an answer with changes. Each call is billed, so at the
@@ -123,8 +129,8 @@
 		err := w.follow(ctx, func(u Update) {
 			retryPause, hasRead = minRetryPause, true
 			u.Gap, lastAnswer = time.Since(lastAnswer), time.Now()
-			if origin, ok := w.Tables.(AnswerSource); ok {
-				u.Gap, u.Reader = origin.Gap(), origin.Reader()
+			if answers, ok := w.Tables.(AnswerSource); ok {
+				u.Gap, u.Reader = answers.Gap(), answers.Reader()
 			}
 			if u.Reader != source {
 				source = u.Reader
@@ -137,7 +143,7 @@
 			w.Apply(u)
 		})
 		if failure.Is(err, failure.HistoryLost) || ctx.Err() != nil {
-			continue // read the table again at once: changes were missed
+			continue // read the whole table at once: changes were missed, or it is due
 		}
 		if w.OnFailure != nil {
 			w.OnFailure()
