--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,7 +13,7 @@
 
 // NewFingerprint returns the fingerprint of a request. Requests have the same one if method, host,
 // target, caller and body are equal. The hash is cryptographic, since callers choose the input: no
-// caller can forge a request that is taken for that of another one.
+// caller can forge a request with the fingerprint of another caller's request.
 func NewFingerprint(method, host, target, caller string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{method, host, target, caller} {
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -14,7 +14,8 @@
 	// Isolated requests were the most suspect ones at two ends or more, or their quarantine
 	// has expired. One copy runs at a time, separately from other suspects.
 	Isolated
-	// Undecided is as Isolated, but the cause of the newest end is not clear yet.
+	// Undecided requests have seen as many ends as isolated ones, but the cause of the newest
+	// end is not clear yet. They wait until it is.
 	Undecided
 	// Quarantined requests are the proven cause of several ends. They do not run.
 	Quarantined
@@ -22,8 +23,8 @@
 
 // ServiceServers reports on the servers of a request's service.
 type ServiceServers interface {
-	// AnsweredSince reports whether a server that was known before since has answered after it and
-	// has not ended.
+	// AnsweredSince reports whether a server that was known before the given time has answered
+	// after it and has not ended.
 	AnsweredSince(since Time) bool
 	// UndetectedEnds counts the servers that may have ended at a time without this being noticed
 	// yet, because they ran no request that would have failed.
@@ -34,7 +35,7 @@
 //
 // A host other than the home (the host that runs the scheduler) receives the ends under a
 // request from the home, but not every other server that ended at the same time. If it judged
-// by these, an ordinary request would be refused everywhere because a rack failed.
+// by these alone, an ordinary request would be refused everywhere because a rack failed.
 func (t *Table) SetPartial(partial bool) {
 	if t.partial != partial {
 		t.partial = partial
@@ -44,7 +45,7 @@
 
 // Judge returns how a request must be treated now. It puts the request in quarantine when the
 // facts suffice and are complete.
-func (t *Table) Judge(now Time, f Fingerprint, peers ServiceServers) Verdict {
+func (t *Table) Judge(now Time, f Fingerprint, servers ServiceServers) Verdict {
 	e := t.entries[f]
 	if e == nil {
 		return Unrestricted
@@ -52,7 +53,7 @@
 	if !e.lastJudgment.stale(now, t.revision) {
 		return e.lastJudgment.standing
 	}
-	standing := t.judge(now, f, e, peers)
+	standing := t.judge(now, f, e, servers)
 	e.lastJudgment = judgment{standing: standing, at: now, revision: t.revision}
 	return standing
 }
@@ -71,7 +72,7 @@
 	return j.revision != revision || now-j.at >= judgmentTTL
 }
 
-func (t *Table) judge(now Time, f Fingerprint, e *entry, peers ServiceServers) Verdict {
+func (t *Table) judge(now Time, f Fingerprint, e *entry, servers ServiceServers) Verdict {
 	if e.quarantined {
 		if now >= e.retryAt {
 			return Isolated
@@ -82,7 +83,7 @@
 		t.drop(f)
 		return Unrestricted
 	}
-	ends, separateCauses := t.attributedEnds(f, e, peers)
+	ends, separateCauses := t.attributedEnds(f, e, servers)
 	if len(ends) < 2 {
 		if e.progressAt > e.last() {
 			return Unrestricted
@@ -90,16 +91,16 @@
 		return Suspect
 	}
 	last := ends[len(ends)-1].at
-	if now-last < correlationWindow || now-last < sameCauseWindow && !peers.AnsweredSince(last) {
+	if now-last < correlationWindow || now-last < sameCauseWindow && !servers.AnsweredSince(last) {
 		return Undecided
 	}
 	if separateCauses < endsToQuarantine {
 		return Isolated
 	}
 	// When all servers of a service end together, the ends of idle ones are noticed only when
-	// their entries expire. Before that, a request that ran on the busy ones would look like
-	// the only cause.
-	if t.partial || t.mayProveCorrelated(now, ends, peers) {
+	// their entries in the store expire. Before that, a request that ran on the busy ones would
+	// look like the only cause.
+	if t.partial || t.mayProveCorrelated(now, ends, servers) {
 		return Undecided
 	}
 	e.quarantined, e.quarantinedAt, e.quarantinedBy = true, now, t.host
@@ -111,19 +112,19 @@
 // attributedEnds lists the ends that are attributed to a request, and counts the separate causes
 // among them.
 //
-// Ordinary requests, up to the slots of a server, run beside a poison request, and some of them
-// are retried on the same server as it again. The poison request is present each time, so the
+// Ordinary requests run beside a poison request in the other slots of its server, and some of
+// their retries run beside it again. The poison request is present at each of these ends, so the
 // more ends it has seen, the fewer of them are attributed to others. Servers also end for other
-// reasons: a rack fails repeatedly, with hundreds of requests, of which a few are present each
-// time.
-func (t *Table) attributedEnds(f Fingerprint, e *entry, peers ServiceServers) (list []end, separateCauses int) {
+// reasons: racks fail one after the other, with hundreds of requests, a few of which are present
+// each time.
+func (t *Table) attributedEnds(f Fingerprint, e *entry, servers ServiceServers) (list []end, separateCauses int) {
 	for i := range e.ends {
 		lost := &e.ends[i]
 		if t.correlated(f, lost) || t.hasStrongerSuspect(f, e, lost) {
 			continue
 		}
 		n := len(list)
-		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCauseWindow || peers.AnsweredSince(list[n-1].at)) {
+		if !lost.distinct && (n == 0 || lost.at-list[n-1].at >= sameCauseWindow || servers.AnsweredSince(list[n-1].at)) {
 			lost.distinct = true
 			t.unreported[f] = true // another home could not tell which servers answered then
 		}
@@ -152,15 +153,16 @@
 	return others >= minOtherEnds
 }
 
-// mayProveCorrelated reports whether entries of idle servers that have yet to expire may show
-// that one of the ends was correlated with others.
-func (t *Table) mayProveCorrelated(now Time, ends []end, peers ServiceServers) bool {
+// mayProveCorrelated reports whether one of the ends may prove to be correlated with ends of idle
+// servers whose entries in the store have yet to expire.
+func (t *Table) mayProveCorrelated(now Time, ends []end, servers ServiceServers) bool {
 	return slices.ContainsFunc(ends, func(e end) bool {
-		return now-e.at < t.entryTTL && peers.UndetectedEnds(e.at) >= minOtherEnds
+		return now-e.at < t.entryTTL && servers.UndetectedEnds(e.at) >= minOtherEnds
 	})
 }
 
-// suspicion ranks the requests that ran on one server; the highest is the most suspect.
+// suspicion returns how suspect a request is, compared with others that ran on the same server:
+// its number of uncorrelated ends, and more if it is in quarantine.
 func (t *Table) suspicion(f Fingerprint, e *entry) int {
 	n := 0
 	for i := range e.ends {
@@ -174,8 +176,9 @@
 	return n
 }
 
-// hasStrongerSuspect reports whether another request that ran on the server is more suspect:
-// it has seen more ends, or as many and it had sent no event there while this one had.
+// hasStrongerSuspect reports whether another request that ran on the lost server is more suspect:
+// it has seen more ends, or as many and none of its events had arrived from there while one of f
+// had.
 func (t *Table) hasStrongerSuspect(f Fingerprint, e *entry, lost *end) bool {
 	own := t.suspicion(f, e)
 	for other := range t.servers[lost.server].requests {
@@ -200,8 +203,8 @@
 //
 // Identical requests are common and legitimate, short checks as well as long streams. After the
 // end of one server they must not run one at a time until the first of them has completed, so
-// progress of the first one lifts the restriction for the others. It does not clear the
-// request: one that ends its servers after some seconds would be cleared each time.
+// progress of the first one lifts the restriction for the others. Progress does not clear the
+// request: a poison request that ends its servers after some seconds would be cleared each time.
 func (t *Table) Progress(now Time, f Fingerprint) {
 	if e := t.entries[f]; e != nil && e.progressAt <= e.last() {
 		e.progressAt = now
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -13,10 +13,10 @@
 	Service     string
 	Ends        []ServerEnd
 	Quarantined bool
-	Age         Time // time since it was quarantined
-	RetryIn     Time // time until a trial run is allowed
-	By          string
-	Cleared     bool // facts older than ClearedAge are ignored
+	Age         Time   // time since it was quarantined
+	RetryIn     Time   // time until a trial run is allowed
+	By          string // host that quarantined it
+	Cleared     bool   // facts older than ClearedAge are ignored
 	// ClearedAge is the time since the request succeeded or was released.
 	ClearedAge Time
 }
@@ -25,7 +25,7 @@
 type ServerEnd struct {
 	Server    string
 	Age       Time
-	EventSeen bool // the request had sent an event there
+	EventSeen bool // an event of the request's answer had arrived from the server
 	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
 }
@@ -59,7 +59,7 @@
 	}
 	e := t.entries[f]
 	if e != nil && e.last() > at {
-		return // a server has ended under it since
+		return // a server has ended under the request since
 	}
 	t.drop(f)
 	t.setCleared(at, f)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -1,12 +1,14 @@
 // Package quarantine detects poison requests (queries of death), which end each server that
-// runs them, and keeps them from further servers.
+// runs them, and keeps them from further servers. A server's end is unplanned: its process has
+// crashed, or its host or rack has failed.
 //
-// The state is a set of facts of the form "this request was running on that server when it
-// ended". Facts from several hosts are merged as sets, so neither their order nor duplicates
-// matter. The cause is derived from the facts anew each time. A request that succeeds anywhere
-// is no poison request, and its facts are dropped.
+// The state of a Table is a set of facts of the form "this request was running on that server
+// when it ended". Facts from several hosts are merged as sets, so neither their order nor
+// duplicates matter. Table.Judge derives the cause from the facts anew each time. A request that
+// succeeds anywhere is no poison request, and its facts are dropped. A Record carries the facts
+// about a request to other hosts, a Row those about a quarantined one to the store.
 //
-// The package is pure: it reads no clock and does no I/O.
+// The package is pure: it reads no clock and does no I/O. Each scheduler owns a Table.
 package quarantine
 
 import (
@@ -59,7 +61,8 @@
 	Service     string
 	Server      string // incarnation of the server
 	At          Time
-	// EventSeen is set when the run had sent an event, so the server had started on it earlier.
+	// EventSeen is set when an event of the answer had arrived, so the server had started on the
+	// request earlier.
 	EventSeen bool
 	// Distinct is set when the end is known to have another cause than the previous one.
 	Distinct bool
@@ -103,6 +106,7 @@
 	lastJudgment  judgment
 }
 
+// last returns the time of the newest end, or of the quarantine if no end is known.
 func (e *entry) last() Time {
 	if len(e.ends) == 0 {
 		return e.quarantinedAt
@@ -137,7 +141,7 @@
 // SetHost sets the name of the host that owns the table.
 func (t *Table) SetHost(name string) { t.host = name }
 
-// SetEntryTTL sets the longest time for which a server stays listed after its end.
+// SetEntryTTL sets the longest time for which the store lists a server after its end.
 func (t *Table) SetEntryTTL(d Time) { t.entryTTL = d }
 
 // Has reports whether a server has ended under a request. It is cheap, since it is called for
@@ -165,7 +169,7 @@
 		t.entries[l.Fingerprint] = e
 	}
 	if i := slices.IndexFunc(e.ends, func(have end) bool { return have.server == l.Server }); i >= 0 {
-		e.ends[i].at = min(e.ends[i].at, l.At) // a late report carries a later time
+		e.ends[i].at = min(e.ends[i].at, l.At) // a delayed report gives a time that is too late
 		e.ends[i].distinct = e.ends[i].distinct || l.Distinct
 		return false
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -20,18 +20,19 @@
 	return NewFingerprint("POST", "h", "/p", account, fmt.Append(nil, n))
 }
 
-// peers is a service of which one server or none answers, and some may have ended unnoticed.
-type peers struct {
-	well   bool
-	unseen int
+// fakeServers is a service of which a server has answered or none has, and of which some servers may
+// have ended unnoticed.
+type fakeServers struct {
+	answered   bool
+	undetected int
 }
 
-func (p peers) AnsweredSince(Time) bool { return p.well }
-func (p peers) UndetectedEnds(Time) int { return p.unseen }
+func (p fakeServers) AnsweredSince(Time) bool { return p.answered }
+func (p fakeServers) UndetectedEnds(Time) int { return p.undetected }
 
 var (
-	answering = peers{well: true}
-	silent    = peers{}
+	answering = fakeServers{answered: true}
+	silent    = fakeServers{}
 )
 
 // end records a server's end under requests.
@@ -63,8 +64,8 @@
 		Expect(t.RetryIn(5*time.Second, poison)).To(Equal(initialQuarantine))
 	})
 
-	// An ordinary request is cut off when its engine ends, and each retry runs beside the poison
-	// request again, since one engine is left for all. It is present at all ends but the first
+	// An ordinary request is cut off when its server ends, and each retry runs beside the poison
+	// request again, since one server is left for all. It is present at all ends but the first
 	// and must not be taken for the cause.
 	It("does not quarantine a request whose retries run beside the poison request", func() {
 		t.end(0, "e1", poison)
@@ -75,8 +76,8 @@
 		}
 	})
 
-	// A rack fails, seconds later another one, and then all servers. A request that happens to
-	// run on one of them each time was refused at its fourth attempt.
+	// Regression: a rack fails, seconds later another one, and then all servers. A request that
+	// happens to run on one of them each time was refused at its fourth attempt.
 	It("quarantines no request for servers that end together", func() {
 		for round := range 5 {
 			at := time.Duration(round) * 4 * time.Second
@@ -88,21 +89,21 @@
 		}
 	})
 
-	// All engines of a service end at once, three times. Two of them run the same caller's
+	// Regression: all servers of a service end at once, three times. Two of them run the same caller's
 	// request each time; the ends of the idle ones are noticed seconds later, when their entries
 	// expire. Until then the request was refused as the cause.
 	It("waits until the entries of idle servers may have expired", func() {
-		const lapse = 4 * time.Second
-		t.SetEntryTTL(lapse)
-		idle := peers{well: true, unseen: 2}
+		const entryTTL = 4 * time.Second
+		t.SetEntryTTL(entryTTL)
+		idle := fakeServers{answered: true, undetected: 2}
 		for round := range 3 {
 			at := time.Duration(round) * 10 * time.Second
 			t.end(at, fmt.Sprint("busy", round), ordinary)
-			Expect(t.Judge(at+lapse-time.Second, ordinary, idle)).To(BeNumerically("<", Quarantined))
+			Expect(t.Judge(at+entryTTL-time.Second, ordinary, idle)).To(BeNumerically("<", Quarantined))
 			for i := range 2 {
-				t.AddIdleEnd(fmt.Sprint("idle", round, i), at-time.Second, at+lapse)
+				t.AddIdleEnd(fmt.Sprint("idle", round, i), at-time.Second, at+entryTTL)
 			}
-			Expect(t.Judge(at+lapse+time.Second, ordinary, answering)).To(BeNumerically("<", Quarantined))
+			Expect(t.Judge(at+entryTTL+time.Second, ordinary, answering)).To(BeNumerically("<", Quarantined))
 		}
 	})
 
@@ -111,7 +112,7 @@
 		for i := range 3 {
 			t.end(time.Duration(2*i)*time.Second, fmt.Sprint("e", i), poison)
 		}
-		idle := peers{well: true, unseen: 2}
+		idle := fakeServers{answered: true, undetected: 2}
 		Expect(t.Judge(5*time.Second, poison, idle)).To(Equal(Undecided))
 		Expect(t.Judge(9*time.Second, poison, idle)).To(Equal(Quarantined))
 	})
@@ -136,7 +137,7 @@
 		Expect(t.Judge(9*time.Second, ordinary, answering)).To(Equal(Suspect))
 	})
 
-	// All checks of one caller are identical requests. After the end of a server they ran one at
+	// Regression: all checks of one caller are identical requests. After the end of a server they ran one at
 	// a time, although each is short and all succeed.
 	It("clears a request that succeeds, and lifts the restriction once a run makes progress", func() {
 		t.end(0, "e1", ordinary)
@@ -218,8 +219,8 @@
 		})
 	})
 
-	// Three engines end under a request within a second while others answer. The home is lost;
-	// the next one did not see which servers answered then, and still ran the request.
+	// Regression: three servers end under a request within a second while others answer. The home
+	// is lost; the next one did not see which servers answered then, and still ran the request.
 	It("reports to another host which ends have separate causes", func() {
 		for i := range 3 {
 			t.end(time.Duration(i)*300*time.Millisecond, fmt.Sprint("e", i), poison)
