--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -2,7 +2,8 @@
 // decides how much traffic the new servers get, compares their answers with those of the old
 // servers, and decides when the service moves to the new version or is rolled back.
 //
-// The package is pure: it reads no clock and does no I/O. One scheduler owns a Trial.
+// A Trial is the state of one roll-out and belongs to one scheduler; a Row is what another host
+// needs to resume it. The package is pure: it reads no clock and does no I/O.
 package rollout
 
 import (
--- a/internal/rollout/samples.go
+++ b/internal/rollout/samples.go
@@ -53,16 +53,16 @@
 
 // baseline holds statistics of the old version's answers on one route.
 type baseline struct {
-	answers   float64
-	bad       [faultCount]movingMean // share of bad answers over longWindow
-	recentBad [faultCount]movingMean // the same over shortWindow
-	logTook   movingMean             // logarithm of RelativeTime of answers that did not fail
+	answers         float64
+	bad             [faultCount]movingMean // share of bad answers over longWindow
+	recentBad       [faultCount]movingMean // the same over shortWindow
+	logRelativeTime movingMean             // logarithm of RelativeTime of answers that did not fail
 }
 
 // faultsOf returns the ways in which an answer is bad.
 func (b *baseline) faultsOf(s Sample) (out [faultCount]bool) {
 	out[failing] = s.Failed
-	out[slow] = s.RelativeTime > 0 && b.logTook.n > 0 && math.Log(s.RelativeTime)-b.logTook.value > math.Log(slowFactor)
+	out[slow] = s.RelativeTime > 0 && b.logRelativeTime.n > 0 && math.Log(s.RelativeTime)-b.logRelativeTime.value > math.Log(slowFactor)
 	return out
 }
 
@@ -76,7 +76,7 @@
 		b.recentBad[f].add(x, shortWindow)
 	}
 	if s.RelativeTime > 0 && !s.Failed {
-		b.logTook.add(math.Log(s.RelativeTime), shortWindow)
+		b.logRelativeTime.add(math.Log(s.RelativeTime), shortWindow)
 	}
 }
 
@@ -101,9 +101,9 @@
 	baselines       map[string]*baseline // by route
 	baselineAnswers float64              // number of answers of the old version
 	newAnswers      []judgedAnswer       // of the new version; a ring buffer once it is full
-	next            int
-	n               int // number of answers of the new version
-	bad             int // number of bad ones among them
+	next            int                  // index of newAnswers that the next answer overwrites
+	n               int                  // number of answers of the new version, including overwritten ones
+	bad             int                  // number of bad ones among them
 }
 
 func newSamples() samples { return samples{baselines: map[string]*baseline{}} }
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -12,7 +12,7 @@
 // Phase is a state of the chart of a roll-out.
 type Phase = chart.State
 
-// The phases of a trial; the chart file describes them.
+// The phases of a trial; charts/rollout.yaml describes them.
 const (
 	Trying          Phase = "trying"
 	Paused          Phase = "paused"
@@ -49,8 +49,9 @@
 	maxTurnTime = 2 * time.Second
 	// minAnswersToMove is the number of answers of the new version that a move requires.
 	minAnswersToMove = 40
-	// maxRouteLead is how many tries a route may be ahead of another one, in addition to half the
-	// tries of that one: a version may be bad on a route that few requests take.
+	// maxRouteLead is how many tries (requests sent to the new version) a route may be ahead of
+	// another one, in addition to half the tries of that one: a version may be bad on a route that
+	// few requests take.
 	maxRouteLead = 6
 	// minRouteShare is the share of all answers below which other routes do not wait for a route.
 	minRouteShare = 0.05
@@ -85,8 +86,8 @@
 }
 
 // NewTrial starts the trial of an order that was given some time ago. A scheduler that takes it
-// over from a lost one passes resumed: the requests tried before are unknown, and count as all
-// that were allowed until then.
+// over from a lost one passes resumed: the number of requests tried before is unknown, and the
+// trial assumes that it was all that the bounds allowed until then.
 func NewTrial(now Time, o Order, ago time.Duration, b Bounds, resumed bool) *Trial {
 	return &Trial{
 		Order: o, bounds: b, orderedAt: now - ago, startedAt: now, fromOrder: !resumed, machine: trialChart.Start(),
@@ -205,8 +206,8 @@
 // RouteAllowed reports whether a request of a route may be sent to the new version now, so that no
 // route gets far ahead of the others.
 //
-// Routes with rare requests do not hold back the others. These would get no tries, and the
-// roll-out would neither move nor be rolled back.
+// Routes with rare requests do not hold back the others. Otherwise the others would get no tries,
+// and the roll-out would neither move nor be rolled back.
 func (t *Trial) RouteAllowed(route string) bool {
 	minTries := -1
 	for r, b := range t.samples.baselines {
@@ -220,7 +221,7 @@
 	return minTries < 0 || t.tries[route] <= minTries+minTries/2+maxRouteLead
 }
 
-// Tried counts a request of a route that was given to the server whose turn it is.
+// Tried counts a request of a route that was sent to the server whose turn it is.
 func (t *Trial) Tried(route string) {
 	t.tries[route]++
 	t.turn.remaining--
@@ -289,8 +290,8 @@
 	return t.Phase() == Trying && now+takes > t.Deadline()-storeWriteMargin
 }
 
-// OldServersIdle records that no old server has a run that would be lost with it, and reports
-// whether that completes the roll-out.
+// OldServersIdle records that no old server has a run that would be cut off when the server stops,
+// and reports whether that completes the roll-out.
 func (t *Trial) OldServersIdle() bool {
 	return t.Phase() == Moving && t.fire(evEmpty, t.why)
 }
@@ -322,7 +323,7 @@
 	Phase   Phase
 	Why     string
 	Reached float64 // requests that reached the service
-	Tried   float64 // those of them that were given to the new version
+	Tried   float64 // those of them that were sent to the new version
 	Answers int     // answers of the new version
 	Bad     int     // bad ones among them
 	Routes  map[string]RouteStatus
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -53,8 +53,8 @@
 		Expect(t.Why()).To(ContainSubstring("usual"))
 	})
 
-	// A sixth of the calls fail with either version. The new version was rolled back for failures
-	// that the old one has too.
+	// Regression: a sixth of the calls fail with either version. The new version was rolled back
+	// for failures that the old one has too.
 	It("does not roll back a version for failures that the old one has too", func() {
 		t.addAnswers(0, false, 600, 6, 3)
 		Expect(t.addAnswers(time.Second, true, 300, 6, 3)).To(BeFalse())
@@ -121,8 +121,8 @@
 		Expect(t.State()).To(Equal(Completed))
 	})
 
-	// A route gets one request a minute. The roll-out waited for tries of it, and neither moved
-	// nor was rolled back.
+	// Regression: a route gets one request a minute. The roll-out waited for tries of that route,
+	// and neither moved nor was rolled back.
 	It("does not wait for a route with hardly any requests", func() {
 		t.addAnswers(0, false, 300, 0, 3)
 		t.AddAnswer(0, Sample{Route: "rare", Server: "old", RelativeTime: 1}, 3)
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -120,6 +120,7 @@
 	return out
 }
 
+// worstOf is worst for one kind of fault.
 func (s *samples) worstOf(f fault, servers int) finding {
 	out := finding{fault: f, pValue: 1}
 	byRoute := map[string]*counts{}
