--- a/internal/member/join_test.go
+++ b/internal/member/join_test.go
@@ -80,8 +80,8 @@
 })
 
 var _ = Describe("the list of members", func() {
-	// Regression: a home of 195 hosts spent a tenth of its time on looking up the home,
-	// since the list was built and sorted for each call of a host.
+	// Regression: a home with 195 hosts connected spent a tenth of its time on looking up the
+	// home, since the list was built and sorted for each call of a host.
 	It("is rebuilt only when a member has changed", func() {
 		t := newTable()
 		for i := uint64(2); i < 50; i++ {
--- a/internal/member/rank.go
+++ b/internal/member/rank.go
@@ -8,8 +8,8 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// Rank returns the first n members that may be the home of a service, ordered by
-// capacity and, for equal capacity, by rendezvous weight. The largest hosts come
+// Rank returns the first n members that may be the home of a service (see Home), ordered
+// by capacity and, for equal capacity, by rendezvous weight. The largest hosts come
 // first because the home of a large fleet needs more CPU than the smallest hosts
 // have. Leaving and dead members are excluded; suspects are included until they are
 // dead, so that a lost datagram does not move a home.
--- a/internal/member/rank_test.go
+++ b/internal/member/rank_test.go
@@ -57,7 +57,7 @@
 		}
 	})
 
-	It("is never a leaving or dead host, and does not exist without another host", func() {
+	It("is never a leaving or dead host, and does not exist when all hosts are dead", func() {
 		all := fleet(3)
 		first, _ := Home("s", all, 9)
 		for i := range all {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -7,6 +7,9 @@
 // silent host is probed through other hosts, then becomes suspect, then counts
 // as dead without proof. A member wrongly counted as dead refutes it with a
 // higher beat, the version number of its entry.
+//
+// Table holds the list as one host sees it, and Gossip runs the protocol. Rank and Home derive
+// from the list which host is the home of a service, the host that runs its scheduler.
 package member
 
 import (
@@ -40,7 +43,7 @@
 	Since time.Time `json:"since"`
 }
 
-// The states of the member chart.
+// The states of the member chart, a state machine that charts/member.yaml describes.
 const (
 	Alive   chart.State = "alive"
 	Suspect chart.State = "suspect"
@@ -73,7 +76,7 @@
 	// sorted is the list that All returns, nil if a member has changed since it was built.
 	// rankings holds the first maxRanked members of each service's ranking of that list.
 	// They are cached because building the list of hundreds of hosts takes 0.1 ms, and a
-	// home looks up who the home is on each call for a table.
+	// home looks up who the home is whenever a host asks it for rows of the store.
 	sorted   []Member
 	rankings map[string][]Member
 
@@ -113,8 +116,8 @@
 	}
 }
 
-// All returns all known members, including this host and the dead members of the
-// horizon, ordered by host name and incarnation. All callers share the list and must
+// All returns all known members, including this host and the dead members that are still
+// kept, ordered by host name and incarnation. All callers share the list and must
 // not modify it.
 func (t *Table) All() []Member {
 	t.mu.Lock()
@@ -203,8 +206,8 @@
 	t.events.Record(event.MemberProvedDead, event.Fields{Peer: r.wire.Host, Detail: inc.String() + ": " + reason})
 }
 
-// fire takes the chart transition of a record and logs a change of state. The caller
-// holds mu.
+// fire passes an event to the state machine of a record and logs a change of state. The
+// caller holds mu.
 func (t *Table) fire(r *record, e chart.Event) {
 	before := r.machine.State()
 	if r.machine.Fire(e) != nil || r.machine.State() == before {
@@ -259,7 +262,8 @@
 	}
 	known := t.members[ident.Incarnation(w.Incarnation)]
 	if known == nil && w.State == wire.MemberState_MEMBER_DEAD {
-		// Unknown while it was alive: kept as dead so that coverage can be checked.
+		// Unknown while it was alive: kept as dead, so that a home can check whether it knows
+		// everything that was granted to that host.
 		known = t.merge(w)
 		known.proved = w.Proved
 		t.invalidate()
--- a/internal/member/news.go
+++ b/internal/member/updates.go
@@ -17,9 +17,10 @@
 	// of random members added to them.
 	maxUpdates = 8
 	sampleSize = 3
-	// A host first seen within newcomerPeriod is answered with newcomerSample random
-	// members, a datagram of 2 KB. With sampleSize members, a host that joins a fleet of
-	// 200 would know all of them only after 2 s.
+	// newcomerPeriod is how long a host counts as a newcomer after it was first seen. A
+	// newcomer is answered with newcomerSample random members, a datagram of 2 KB. With
+	// sampleSize members, a host that joins a fleet of 200 would know all of them only
+	// after 2 s.
 	newcomerPeriod = 3 * time.Second
 	newcomerSample = 24
 )
@@ -152,18 +153,18 @@
 	return out
 }
 
-// One call of targets in deadProbeOdds adds a dead member.
+// deadProbeOdds is the mean number of calls of targets for each one that adds a dead member.
 const deadProbeOdds = 3
 
-// One probe round in anyZoneOdds draws from all members instead of preferring those of the
-// same availability zone. That way updates leave or enter a zone of 40 hosts 60 times a
-// second, which is enough. Uniform probes would send four fifths of their bytes between
-// zones, where traffic is charged.
+// anyZoneOdds is the mean number of probe rounds for each one that draws from all members
+// instead of preferring those of the same availability zone. With it, updates leave or enter
+// a zone of 40 hosts 60 times a second, which is enough. Uniform probes would send four
+// fifths of their bytes between zones, where traffic is charged.
 const anyZoneOdds = 4
 
-// sameZoneFirst moves members of the same availability zone to the front, except in one
-// round of anyZoneOdds. A host that is alone in its zone probes all members uniformly. The
-// caller holds mu.
+// sameZoneFirst moves members of the same availability zone to the front, except in one of
+// anyZoneOdds rounds on average. A host that is alone in its zone probes all members
+// uniformly. The caller holds mu.
 func (t *Table) sameZoneFirst(live []*record) {
 	if rand.IntN(anyZoneOdds) == 0 {
 		return
