--- a/internal/peer/manager.go
+++ b/internal/peer/manager.go
@@ -3,6 +3,9 @@
 // a deadline, since a connection that a middlebox has dropped from its state
 // stays open but carries nothing. Both ends close a silent session, and the next
 // stream dials a new one.
+//
+// A Manager owns the sessions of one host. A Stream belongs to the caller of OpenStream or,
+// at the other end, to the Handler.
 package peer
 
 import (
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -62,8 +62,8 @@
 
 var _ = Describe("a session between hosts", func() {
 	// Regression: each message was sent in two writes, the frame's header and its body,
-	// which cost both hosts an additional packet and wake-up. A home of hundreds of hosts
-	// was late by a quarter of a second even at low load.
+	// which cost both hosts an additional packet and wake-up. A home with hundreds of hosts
+	// connected was late by a quarter of a second even at low load.
 	It("sends the header and the body of a frame in one write", func() {
 		near, far := net.Pipe()
 		count := &writeCounter{Conn: near}
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -180,9 +180,9 @@
 // probe pings a session that this host opened and closes it if a ping is not answered in
 // time. It skips the ping if both hosts have sent something within ProbePeriod.
 //
-// Only the host that opened a session probes, so that a home, which hundreds of hosts have
-// sessions to, answers probes but sends none. If both hosts probed, busy or not, 195 sessions
-// would cost it 1,600 messages a second.
+// Only the host that opened a session probes, so that a home (the host that runs the scheduler),
+// to which hundreds of hosts have sessions, answers probes but sends none. If both hosts
+// probed, busy or not, 195 sessions would cost it 1,600 messages a second.
 func (m *Manager) probe(s *session) {
 	tick := time.NewTicker(ProbePeriod)
 	defer tick.Stop()
