--- a/internal/dispatch/charges.go
+++ b/internal/dispatch/charges.go
@@ -2,9 +2,9 @@
 
 import "github.com/gentianflow/gentianflow/internal/wire"
 
-// charge records the units of a placement that the local loop made, so that the home can
-// charge them to the account. sign is 1, or -1 to cancel a placement whose request did not
-// run. The caller holds mu.
+// charge records the quota units of a placement that the local loop made, so that the home
+// can charge them to the account. sign is 1, or -1 to cancel the charge of a request that did
+// not run. The caller holds mu.
 func (c *Client) charge(ask *PlacementRequest, sign int) {
 	if !c.fullQuotas && ask.Account != "" && ask.Units > 0 {
 		c.charges[ask.Account] += sign * ask.Units
@@ -22,8 +22,7 @@
 	}
 }
 
-// sendCharges reports to l, if it is the home that is followed, the units that the local
-// loop has placed.
+// sendCharges reports the recorded charges over l, if l is the link to the followed home.
 func (c *Client) sendCharges(l *homeLink) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -15,7 +15,7 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Ask is a request for a placement at a backend server.
+// PlacementRequest is a request for a placement at a backend server.
 type PlacementRequest struct {
 	Request         string // the caller's request ID, for logs
 	Service         string
@@ -23,11 +23,11 @@
 	Priority        int
 	PromptTokens    int
 	OutputTokens    int
-	Units           int
+	Units           int // charged to the account's quota
 	PromptParts     []sched.Part
 	Arrived         time.Time
-	LatencyTarget   time.Time // latency target
-	CallerTimeoutAt time.Time // caller timeout: when the caller gives up without a first event, zero: at the deadline
+	LatencyTarget   time.Time
+	CallerTimeoutAt time.Time // when the caller gives up if it has received no event, zero: at the deadline
 	Deadline        time.Time
 	MaxPause        time.Duration // longest interval between events of a stream that is on time, 0: no limit
 	Repeat          bool
@@ -37,12 +37,12 @@
 	Repeatable      bool // the run may be aborted and repeated or resumed on another server
 }
 
-// Place is a placement: the permission to send a request once to a backend server.
+// Placement is the permission to send a request once to a backend server.
 type Placement struct {
 	ID      uint64
 	Server  string
 	Address string
-	// Alone is set if the local loop made the placement, not the home.
+	// Local is set if the local loop made the placement, not the home.
 	Local bool
 	// ListAge is the age of this host's server list when it received the placement.
 	ListAge time.Duration
@@ -87,7 +87,9 @@
 	// maxPlacementAge is how old a placement may be when the holder receives it. After a
 	// freeze a holder can read old placements whose servers may have shut down since.
 	maxPlacementAge = 500 * time.Millisecond
-	redialPeriod    = 250 * time.Millisecond
+	// redialPeriod is how often a Follower checks which home to follow and dials it if there is
+	// no link. It is also the timeout of the dial.
+	redialPeriod = 250 * time.Millisecond
 	// startupPeriod replaces redialPeriod on a host that has just started or lost its home,
 	// while its view of the other hosts changes quickly.
 	startupPeriod = 50 * time.Millisecond
@@ -96,9 +98,9 @@
 // pending is a placement request that waits, or the run that followed its placement.
 type pending struct {
 	ask      *PlacementRequest
-	via      *homeLink // where the request was sent, nil: the local loop
+	via      *homeLink // the link to the home that handles it, nil: the local loop
 	sentAt   time.Time
-	acked    bool
+	acked    bool      // the home has queued the request or placed it, or the local loop handles it
 	placedAt time.Time // zero while it waits
 	server   string
 	done     chan sched.Decision
@@ -133,7 +135,7 @@
 	}
 }
 
-// Acquire waits for a placement. It fails with *Refused, or with the error of ctx.
+// Acquire waits for a placement. It fails with *Refused, or with Withdrawn when ctx ends.
 // The caller must call Finish for each placement.
 func (c *Client) Acquire(ctx context.Context, ask *PlacementRequest) (Placement, error) {
 	p := &pending{ask: ask, done: make(chan sched.Decision, 1)}
@@ -211,8 +213,8 @@
 	})
 }
 
-// Finish reports how the run of a placement ended, or, with the results Pace and Stalled,
-// the progress of a run that continues. timeToFirst is the time from dispatch to the first
+// Finish reports how the run of a placement ended, or, with the results Progress and Stalled,
+// the state of a run that continues. timeToFirst is the time from dispatch to the first
 // event and tokenInterval the time per output token; both are 0 if unknown.
 func (c *Client) Finish(id uint64, result sched.Result, timeToFirst, tokenInterval time.Duration) {
 	o := sched.Outcome{Key: sched.Key{Holder: uint64(c.self), ID: id}, Result: result, FirstEvent: timeToFirst, TokenTime: tokenInterval}
@@ -251,7 +253,7 @@
 	})
 }
 
-// Blame reports that a server failed a request which another server then answered.
+// RecordServerFault reports that a server failed a request which another server then answered.
 func (c *Client) RecordServerFault(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -277,9 +279,9 @@
 	}
 }
 
-// applyDecision applies one decision. A decision that does not come from where the request
-// was last sent crossed a change of home: the request was submitted again, so this placement
-// is returned.
+// applyDecision applies one decision. If the home changed after the request was sent, the
+// decision may come from the previous scheduler. The request has been submitted to another
+// one since, so such a placement is returned.
 func (c *Client) applyDecision(d sched.Decision, via *homeLink) {
 	p := c.pending[d.ID]
 	if p != nil && !p.placedAt.IsZero() && d.Reason == sched.Quarantined {
@@ -307,7 +309,7 @@
 	}
 	// A home that has lost its connection to the store still places at servers that have
 	// shut down since. If this host knows of the shutdown, it returns the placement with
-	// the result Gone, which informs the home, and submits the request again.
+	// the result Replaced, which informs the home, and submits the request again.
 	if c.leaving(d.Server) {
 		c.returnPlacement(d.ID, via, sched.Replaced)
 		c.send(d.ID, p)
--- a/internal/dispatch/client_test.go
+++ b/internal/dispatch/client_test.go
@@ -49,7 +49,7 @@
 
 func neverLeaving(string) bool { return false }
 
-// serverListFunc is an always current ServerList; the function reports which servers are leaving.
+// serverListFunc is a ServerList of age 0; the function reports which servers are leaving.
 type serverListFunc func(server string) bool
 
 func (l serverListFunc) Leaving(server string) bool { return l(server) }
@@ -101,8 +101,8 @@
 		var leaving atomic.Bool
 		leaving.Store(true)
 		c, _ := startHost(func(id string) bool { return id == "a" && leaving.Load() }, "a", "b")
-		place, err := c.Acquire(context.Background(), ask())
+		placement, err := c.Acquire(context.Background(), ask())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(place.Server).To(Equal("b"))
+		Expect(placement.Server).To(Equal("b"))
 	})
 })
--- a/internal/dispatch/follower.go
+++ b/internal/dispatch/follower.go
@@ -9,8 +9,9 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Follower connects the client to the home that the member ranking names while that answers,
-// and to the local loop otherwise. It also sets the local loop's share of servers and quotas.
+// Follower connects the client to the home, the first host of the ranking of members, while
+// the home answers, and to the local loop otherwise. It also sets the local loop's share of
+// servers and quotas.
 type Follower struct {
 	client   *Client
 	members  *member.Table
@@ -19,8 +20,8 @@
 	// listedHosts returns the number of hosts that other hosts or the store report, 0 if
 	// unknown.
 	listedHosts func() int
-	// setLeading tells the Home of this host whether it schedules for all hosts; followers
-	// counts the hosts that are linked to it.
+	// setLeading sets whether this host leads, which means that it schedules for all hosts;
+	// followers counts the hosts that are linked to it.
 	setLeading      func(bool)
 	followers       func() int
 	started         time.Time
--- a/internal/dispatch/follower_test.go
+++ b/internal/dispatch/follower_test.go
@@ -17,8 +17,9 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// shareSetBy creates a follower that has run for age and knows other live and unresponsive
-// hosts, calls act and returns the share that the follower has set last.
+// shareSetBy creates a follower that has run for age, knows live and silent (unresponsive)
+// other hosts and finds hosts as the listed number, calls act and returns the share that the
+// follower has set last.
 func shareSetBy(age time.Duration, hosts, live, silent int, act func(f *Follower)) sched.Share {
 	events := event.NewRecorder("h", "i", 64, log.NewNopLogger())
 	members := member.NewTable(&wire.Member{Incarnation: self, Host: "h"}, time.Minute, events)
@@ -150,19 +151,19 @@
 		hosts := rapid.IntRange(2, 390).Draw(t, "hosts")
 		old := rapid.IntRange(1, hosts-1).Draw(t, "with the old home")
 		next := rapid.IntRange(1, hosts-old).Draw(t, "with the next")
-		limits := func(with int, takesOver bool) float64 {
+		limits := func(following int, takesOver bool) float64 {
 			return shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) {
-				f.followers = func() int { return with - 1 }
+				f.followers = func() int { return following - 1 }
 				f.leadsSince = time.Now().Add(-time.Minute)
 				f.lead(takesOver)
 			}).Limits
 		}
-		alone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Limits
-		sum := limits(old, false) + limits(next, true) + float64(hosts-old-next)*alone
+		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Limits
+		sum := limits(old, false) + limits(next, true) + float64(hosts-old-next)*standalone
 		if old*2 >= hosts {
 			// Most hosts still follow the old home; the others' placements are charged
 			// there when they return.
-			sum -= float64(hosts-old) * alone
+			sum -= float64(hosts-old) * standalone
 		}
 		if sum > 1.2+1e-9 {
 			t.Fatalf("%d hosts, %d with the old home, %d with the next: %.2f of each quota", hosts, old, next, sum)
@@ -179,14 +180,14 @@
 		hosts := rapid.IntRange(2, 390).Draw(t, "hosts")
 		old := rapid.IntRange(1, hosts-1).Draw(t, "with the old home")
 		next := rapid.IntRange(1, hosts-old).Draw(t, "with the next")
-		sends := func(with int, takesOver bool) float64 {
+		sends := func(following int, takesOver bool) float64 {
 			return shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) {
-				f.followers = func() int { return with - 1 }
+				f.followers = func() int { return following - 1 }
 				f.lead(takesOver)
 			}).Sends
 		}
-		alone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Sends
-		sum := sends(old, false) + sends(next, true) + float64(hosts-old-next)*alone
+		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Sends
+		sum := sends(old, false) + sends(next, true) + float64(hosts-old-next)*standalone
 		if sum > 1.4 {
 			t.Fatalf("%d hosts, %d with the old home, %d with the next: %.2f of a limit", hosts, old, next, sum)
 		}
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -18,11 +18,11 @@
 	writeTimeout  = 500 * time.Millisecond
 )
 
-// Home is the scheduling side of the links: it passes messages of holders (the entry hosts
+// Home is the scheduler's side of the links: it passes messages of holders (the entry hosts
 // that received the requests) to the loop and sends them the decisions. mu guards links.
 type Home struct {
 	loop  *Loop
-	leads atomic.Bool // this host schedules for all hosts that follow it
+	leads atomic.Bool // this host schedules for all hosts
 	// nextHomes lists the hosts that take over if this one is lost, by incarnation.
 	nextHomes func() []uint64
 	mu        sync.Mutex
@@ -74,8 +74,8 @@
 	h.detach(l)
 }
 
-// Lead sets whether this host schedules for all hosts that follow it. Linked hosts are
-// notified at once when it begins to.
+// Lead sets whether this host leads, which means that it schedules for all hosts. Linked hosts
+// are notified at once when it begins to.
 func (h *Home) Lead(leads bool) {
 	if h.leads.Swap(leads) == leads || !leads {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// Leads reports whether this host schedules for all hosts that follow it.
+// Leads reports whether this host schedules for all hosts.
 func (h *Home) Leads() bool { return h.leads.Load() }
 
 // estimatesPeriod is how often the home sends its estimates of server speeds to the hosts
@@ -134,12 +134,12 @@
 	return len(h.links)
 }
 
-// attach makes l the link of its holder. An older link is aborted, and what was queued over
-// it is dropped as if the holder were gone.
+// attach makes l the link of its holder. An older link is aborted, and the requests that were
+// queued over it are dropped as if the holder were gone.
 //
 // A holder reports all its waiting requests and runs over the new link. Messages still
-// unread on the old link are older and must be ignored: a withdrawal among them would end
-// a placement request of the new link, and its caller would wait for an answer forever.
+// unread on the old link are out of date and must be ignored: a withdrawal among them would
+// cancel a placement request of the new link, and its caller would wait for an answer forever.
 func (h *Home) attach(l *holderLink) {
 	h.mu.Lock()
 	old := h.links[l.holder]
@@ -153,7 +153,7 @@
 	old.stream.Abort()
 }
 
-// holderGone drops what a holder has queued at the loop.
+// holderGone drops the waiting requests of a holder from the loop.
 func (h *Home) holderGone(holder uint64) {
 	h.loop.push(context.Background(), func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.HolderGone(now, holder)
@@ -218,15 +218,17 @@
 	})
 }
 
-// send never blocks. The link to a holder that does not read is aborted; the holder
-// schedules locally until it reconnects, and then submits its requests again.
+// send queues a message for the holder and never blocks. The link to a holder that does not
+// read is aborted; the holder schedules locally until it reconnects, and then submits its
+// requests again.
 func (l *holderLink) send(m *wire.ToHolder) {
 	if !l.out.TryPush(m) {
 		l.stream.Abort()
 	}
 }
 
-// Deliver sends the decisions of one round of the loop to their holders.
+// Deliver sends the decisions of one round of the loop to their holders. Decisions for a holder
+// without a link are dropped, since a holder submits its requests again over a new link.
 func (h *Home) Deliver(out []sched.Decision) {
 	byHolder := map[uint64]*wire.ToHolder{}
 	for _, d := range out {
@@ -246,7 +248,8 @@
 	}
 }
 
-// writeMessages writes the messages of a ring to a stream, all that are queued in one flush.
+// writeMessages writes the messages of a ring to a stream until ctx ends. It flushes once for
+// all messages that are queued at the time.
 func writeMessages[M wire.Message](ctx context.Context, st *peer.Stream, out *ring.Ring[M]) {
 	w := bufio.NewWriterSize(st, 4096)
 	var batch []M
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -103,8 +103,8 @@
 	// the new one. If it were applied, the request would wait for an answer forever.
 	It("has messages on the old link ignored", func() {
 		h, loop := startHome()
-		other := openLink(h)
-		other.ask(1)
+		first := openLink(h)
+		first.ask(1)
 		Eventually(func() int { n, _ := countRequests(loop); return n }).Should(Equal(1))
 		var old *holderLink
 		h.mu.Lock()
@@ -180,8 +180,8 @@
 
 var _ = Describe("a paused home", func() {
 	// The home's CPU pauses for a third of a second under load. If each host submitted the
-	// requests that wait there to its local loop, the loops would send them to engines that
-	// are full, and callers would get late answers for seconds.
+	// requests that wait there to its local loop, the loops would send them to inference engines
+	// that are full, and callers would get late answers for seconds.
 	It("keeps its queue if it answers again soon", func() {
 		h := newPausedHome()
 		id := h.addWaiting()
@@ -216,9 +216,9 @@
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetAccounts(now, []sched.Account{{Name: "acc", Rate: 1000, Burst: 1000}})
 	})
-	place, err := c.Acquire(context.Background(), meteredAsk())
+	placement, err := c.Acquire(context.Background(), meteredAsk())
 	Expect(err).NotTo(HaveOccurred())
-	return c, place
+	return c, placement
 }
 
 var _ = Describe("a local placement while the home does not answer", func() {
@@ -226,8 +226,8 @@
 	// of a quota while the home uses the whole, and the account exceeds its quota by a
 	// twentieth.
 	It("is charged to the account when the host follows a home again", func() {
-		c, place := placeLocally()
-		c.Finish(place.ID, sched.OK, time.Millisecond, 0)
+		c, placement := placeLocally()
+		c.Finish(placement.ID, sched.OK, time.Millisecond, 0)
 		l := &homeLink{out: ring.New[*wire.ToHome](8)}
 		c.sendCharges(l)
 		Expect(l.out.Drain(nil)).To(BeEmpty(), "no home is followed yet")
@@ -240,8 +240,8 @@
 	})
 
 	It("is not charged if the request did not run", func() {
-		c, place := placeLocally()
-		c.Finish(place.ID, sched.Rejected, 0, 0)
+		c, placement := placeLocally()
+		c.Finish(placement.ID, sched.Rejected, 0, 0)
 		Expect(c.charges["acc"]).To(BeZero())
 	})
 
@@ -261,8 +261,8 @@
 })
 
 var _ = Describe("a host that takes over from a lost home", func() {
-	// A new home without estimates of server speeds sends long prompts to engines that are
-	// three times slower than others for some seconds.
+	// A new home without estimates of server speeds sends long prompts to inference engines
+	// that are three times slower than others for some seconds.
 	It("knows the old home's estimates of server speeds", func() {
 		h, loop := startHome()
 		loop.Do(func(now sched.Time, s *sched.Scheduler) {
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -15,7 +15,7 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// homeLink is a holder's stream to its home.
+// homeLink is the holder's end of its stream to a home.
 type homeLink struct {
 	host         string
 	incarnation  ident.Incarnation
@@ -24,7 +24,7 @@
 	lastPong     atomic.Uint32 // number of the newest ping that was answered
 	openedAt     time.Time
 	lastReceived atomic.Int64  // time of the last message, in nanoseconds since openedAt
-	leading      atomic.Bool   // the home's last message about it said that it schedules for all hosts
+	leading      atomic.Bool   // the home last reported that it schedules for all hosts
 	ended        chan struct{} // closed when the stream has ended
 }
 
@@ -36,21 +36,23 @@
 	return l.push(&wire.ToHome{Running: []*wire.Running{m}})
 }
 
-// finish and withdraw abort the link if the ring is full, since their message is lost; the
-// home then ends the holder's runs by itself.
+// finish reports the outcome of a run. finish and withdraw abort the link if the queue is full,
+// since their message is lost; the home then ends the holder's runs by itself.
 func (l *homeLink) finish(o sched.Outcome) {
 	if !l.push(&wire.ToHome{Outcomes: []*wire.Outcome{encodeOutcome(o)}}) {
 		l.stream.Abort()
 	}
 }
 
+// withdraw cancels a waiting placement request or a run at the home.
 func (l *homeLink) withdraw(id uint64) {
 	if !l.push(&wire.ToHome{Withdrawn: []uint64{id}}) {
 		l.stream.Abort()
 	}
 }
 
-// Sessions opens streams to other hosts.
+// Sessions opens streams to other hosts. Discard closes the session to an address, so that the
+// next stream dials a new one.
 type Sessions interface {
 	OpenStream(ctx context.Context, to peer.Target, kind wire.StreamKind, service string) (*peer.Stream, error)
 	Discard(address string)
@@ -130,8 +132,8 @@
 	}
 }
 
-// updateLeading follows or unfollows a home by whether it reports that it schedules for all
-// hosts.
+// updateLeading follows a home that reports that it leads, which means that it schedules for
+// all hosts, and unfollows one that reports that it does not.
 //
 // Two hosts may briefly disagree on the ranking, and a host takes over from a lost home only
 // after it has noticed the loss itself. Before that its loop has a small share of the
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,10 +1,16 @@
-// Package dispatch carries placement requests to the scheduler and its decisions back.
+// Package dispatch carries placement requests to the scheduler and its decisions back. A
+// placement is the permission to send a request once to a backend server; a run is the
+// execution of the request there.
 //
-// Each host runs one loop that owns a sched.Scheduler. The home is the host whose loop
+// Each host runs one Loop that owns a sched.Scheduler. The home is the host whose loop
 // schedules for all hosts. The loop of any other host is idle until the home stops
 // answering, and then schedules for its own host only, with a share of every server, quota
-// and retry budget. Client is the requesting side: it follows the home and falls back to the
-// local loop within a fraction of the shortest latency target.
+// and retry budget.
+//
+// Client requests placements for this host. It owns the waiting requests and the runs, sends
+// them to the home and falls back to the local loop within a fraction of the shortest latency
+// target. Follower selects the home, opens the link to it and sets the share of the local
+// loop. Home serves the links of the other hosts.
 package dispatch
 
 import (
@@ -21,7 +27,7 @@
 const (
 	loopQueueSize = 8192
 	// busyTick is how often waiting requests are checked for expired deadlines, caller
-	// timeouts and refilled quotas.
+	// timeouts and refilled quotas. idleTick is the interval while no request waits.
 	busyTick = 10 * time.Millisecond
 	idleTick = 250 * time.Millisecond
 )
@@ -52,12 +58,12 @@
 	}
 }
 
-// SuspectsFunc is called on the loop's goroutine with the changed records of suspect requests,
-// under which servers ended; lifted reports which of them have left quarantine with the
-// change. It must not block.
+// SuspectsFunc is called on the loop's goroutine with the changed records of suspects, the
+// requests under which servers ended; lifted reports which of them have left quarantine with
+// the change. It must not block.
 type SuspectsFunc func(changes []quarantine.Record, lifted func(quarantine.Fingerprint) bool)
 
-// OnSuspects sets the function that receives changes of suspect requests. It must be called
+// OnSuspects sets the function that receives changed records of suspects. It must be called
 // before Run.
 func (l *Loop) OnSuspects(onSuspects SuspectsFunc) { l.onSuspects = onSuspects }
 
--- a/internal/dispatch/distrust.go
+++ b/internal/dispatch/losthomes.go
@@ -9,16 +9,16 @@
 )
 
 // lostHomeTimeout is how long a host does not follow a home that it has lost. It matches the
-// time that the membership takes to detect a host that ended without notice.
+// time that the membership takes to detect a host that failed without announcing it.
 const lostHomeTimeout = 3 * time.Second
 
 // lostHomes holds the homes that this host has recently lost. mu guards until.
 //
-// The membership detects a host that lost its power after 3 s; the other hosts notice within
-// 0.9 s that it does not place their requests. If they scheduled locally in between, a home
-// that lost its power during a burst would cut the number of callers served in those seconds
-// to a third. So each host turns to the next host of the ranking, which schedules for all as
-// soon as it has lost the home itself.
+// The membership takes 3 s to detect a host that lost its power; the other hosts notice within
+// 0.9 s that it does not place their requests. If they scheduled locally in between, a power
+// loss of the home during a burst would cut the number of callers served in those seconds to
+// a third. So each host follows the next host of the ranking, which schedules for all as soon
+// as it has lost the home itself.
 type lostHomes struct {
 	mu    sync.Mutex
 	until map[ident.Incarnation]time.Time
--- a/internal/dispatch/moving.go
+++ b/internal/dispatch/moving.go
@@ -6,8 +6,8 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Waiting placement requests and runs move with the home: to another home, or to the local
-// loop while no home answers.
+// When the home changes, waiting placement requests and runs move to the scheduler of the new
+// home, or to the local loop while no home answers.
 
 // follow makes l the link to the followed home. Waiting requests are submitted there again,
 // and runs are reported there.
@@ -62,8 +62,8 @@
 	}
 }
 
-// withdrawFrom removes a waiting request or run from the scheduler behind old, or from the
-// local loop if old is nil.
+// withdrawFrom removes a waiting request or run from the scheduler at the other end of old, or
+// from the local loop if old is nil.
 func (c *Client) withdrawFrom(id uint64, old *homeLink) {
 	if old != nil {
 		old.withdraw(id)
@@ -75,7 +75,7 @@
 }
 
 // reportRun reports a run to its home, or to the local loop if there is no home
-// or its output queue is full.
+// or its output queue is full. The caller holds mu.
 func (c *Client) reportRun(now time.Time, id uint64, p *pending) {
 	m := encodeRunning(now, id, p)
 	if p.via != nil && p.via.sendRunning(m) {
@@ -91,7 +91,7 @@
 // resubmitOverdue moves placement requests that the home has not answered in time to the
 // local loop. It reports whether one has been unanswered for so long that the home counts as
 // unresponsive.
-func (c *Client) resubmitOverdue(l *homeLink, now time.Time) (silent bool) {
+func (c *Client) resubmitOverdue(l *homeLink, now time.Time) (unresponsive bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, p := range c.pending {
@@ -99,19 +99,19 @@
 			continue
 		}
 		elapsed := now.Sub(p.sentAt)
-		silent = silent || elapsed > maxAckTimeout
+		unresponsive = unresponsive || elapsed > maxAckTimeout
 		if elapsed > p.ackTimeout() {
 			l.withdraw(id)
 			c.sendLocal(id, p)
 		}
 	}
-	return silent
+	return unresponsive
 }
 
 // ackTimeout returns how long the home may take to answer the placement request.
 func (p *pending) ackTimeout() time.Duration {
-	untilTarget := p.ask.LatencyTarget.Sub(p.ask.Arrived)
-	return min(maxAckTimeout, max(minAckTimeout, time.Duration(float64(untilTarget)*ackFraction)))
+	latencyTarget := p.ask.LatencyTarget.Sub(p.ask.Arrived)
+	return min(maxAckTimeout, max(minAckTimeout, time.Duration(float64(latencyTarget)*ackFraction)))
 }
 
 // waitsAt reports whether placement requests of this host wait at a home.
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -9,7 +9,8 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Distribution of server notices: the host that receives an answer stores the notice that it
+// Distribution of server notices (what a server states about itself in an answer, such as a rate
+// limit, its shutdown or a backoff): the host that receives an answer stores the notice that it
 // contains, applies it in its local loop, and sends it to the home if it is new. A host that
 // begins to follow a home sends all its notices, with their ages, before any placement
 // request. So a new home knows every notice that a requesting host knows; the newest notice
@@ -47,8 +48,8 @@
 // ServerNotice returns the newest notice that this host has received from a server.
 func (c *Client) ServerNotice(server string) notice.State { return c.notices.Get(server) }
 
-// sendNotices sends notices to a home. It aborts the link if that fails, since whoever places
-// for this host must respect the notices that it has received.
+// sendNotices sends notices to a home. It aborts the link if its queue is full, since a home
+// that places for this host must respect the notices that this host has received.
 func (c *Client) sendNotices(l *homeLink, records []notice.Record) {
 	if len(records) > 0 && !l.push(&wire.ToHome{Notices: encodeNotices(records)}) {
 		l.stream.Abort()
@@ -67,7 +68,7 @@
 	}
 }
 
-// RetainNotices removes the notices of servers for which listed has returned false for some time.
+// RetainNotices removes the notices of servers that have not been listed for some time.
 func (c *Client) RetainNotices(listed func(server string) bool) {
 	c.notices.Retain(time.Now(), listed)
 }
--- a/internal/dispatch/notices_test.go
+++ b/internal/dispatch/notices_test.go
@@ -36,8 +36,8 @@
 	// forwarded as received, an outdated limit would stay in force.
 	It("is forwarded in its newest version", func() {
 		c, loop := startHost(neverLeaving, "a")
-		for _, said := range []notice.Notice{limitNotice(1), {}} {
-			c.notices.Update(time.Now(), "a", said)
+		for _, received := range []notice.Notice{limitNotice(1), {}} {
+			c.notices.Update(time.Now(), "a", received)
 		}
 		c.forwardNotice("a") // for the second answer
 		c.forwardNotice("a") // for the first
@@ -72,9 +72,9 @@
 		c.RecordNotice("a", notice.Notice{Leaving: true})
 		l.out.Drain(nil)
 		c.deliver([]sched.Decision{{Key: sched.Key{Holder: self, ID: 1}, Server: "a", Address: "a"}}, l)
-		said := l.out.Drain(nil)
-		Expect(said[0].Outcomes[0].Result).To(Equal(uint32(sched.Replaced)))
-		Expect(said[1].Asks).To(HaveLen(1))
+		sent := l.out.Drain(nil)
+		Expect(sent[0].Outcomes[0].Result).To(Equal(uint32(sched.Replaced)))
+		Expect(sent[1].Asks).To(HaveLen(1))
 	})
 
 	// The home places at a server before it learns that the server has asked this host for a
@@ -88,23 +88,23 @@
 		l.out.Drain(nil)
 		c.RecordNotice("a", notice.Notice{Backoff: time.Second})
 		c.deliver([]sched.Decision{{Key: sched.Key{Holder: self, ID: 1}, Server: "a", Address: "a"}}, l)
-		said := l.out.Drain(nil)
-		Expect(said).To(HaveLen(3))
-		Expect(decodeNotices(said[0].Notices)[0].Backoff).To(Equal(time.Second))
-		Expect(said[1].Outcomes[0].Result).To(Equal(uint32(sched.Unused)))
-		Expect(said[2].Asks).To(HaveLen(1))
+		sent := l.out.Drain(nil)
+		Expect(sent).To(HaveLen(3))
+		Expect(decodeNotices(sent[0].Notices)[0].Backoff).To(Equal(time.Second))
+		Expect(sent[1].Outcomes[0].Result).To(Equal(uint32(sched.Unused)))
+		Expect(sent[2].Asks).To(HaveLen(1))
 	})
 
 	It("limits the home's placements for other hosts", func() {
 		h, loop := startHome()
-		one := openLink(h)
-		one.send(&wire.ToHome{Notices: encodeNotices([]notice.Record{{Server: "a", Notice: limitNotice(2)}})})
+		holder := openLink(h)
+		holder.send(&wire.ToHome{Notices: encodeNotices([]notice.Record{{Server: "a", Notice: limitNotice(2)}})})
 		Eventually(func() int { return countLimits(loop) }).Should(Equal(1))
 		begun := time.Now()
 		for id := range uint64(3) {
-			one.ask(id)
-			one.awaitPlacement(id)
-			one.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: id, Result: uint32(sched.OK)}}})
+			holder.ask(id)
+			holder.awaitPlacement(id)
+			holder.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: id, Result: uint32(sched.OK)}}})
 		}
 		Expect(time.Since(begun)).To(BeNumerically(">", 900*time.Millisecond))
 	})
--- a/internal/dispatch/ranking.go
+++ b/internal/dispatch/ranking.go
@@ -40,8 +40,9 @@
 	return list, min(readerCount, len(list))
 }
 
-// nextHomeCount is how many hosts receive the home's estimates. Only a failure that leaves
-// little to place takes down the home and this many successors together.
+// nextHomeCount is how many hosts ranked behind the home receive its estimates of server
+// speeds. A failure that takes down the home and all of them at once leaves few requests to
+// place.
 const nextHomeCount = 2
 
 // NextHomes lists the incarnations of the hosts ranked first: the home and those that take
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -11,12 +11,13 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Distribution of roll-outs: every host receives the orders with the operator's table, and
-// sends no requests to the ordered version until it is notified of a step. The home carries
-// out the order and notifies all hosts that follow it of each step, so that a host which
-// loses the home continues with the servers that may be used.
+// Distribution of rollouts: every host receives the operators' orders, each to move a service to
+// a version, with the operator's table, and sends no requests to the ordered version until it
+// is notified of a step. The home carries out the order and notifies all hosts that follow it
+// of each step, so that a host which loses the home continues with the servers that may be
+// used.
 
-// OnRollouts sets the function that receives the steps of the roll-outs that this host
+// OnRollouts sets the function that receives the steps of the rollouts that this host
 // carries out. It is called on the loop's goroutine and must not block. OnRollouts must be
 // called before Run.
 func (l *Loop) OnRollouts(onRollouts func([]rollout.Status)) { l.onRollouts = onRollouts }
@@ -28,7 +29,7 @@
 	}
 }
 
-// describe formats the state of a roll-out for logs.
+// describe formats the state of a rollout for logs.
 func describe(r rollout.Status) string {
 	text := fmt.Sprintf("to=%s phase=%s why=%q reached=%.0f tried=%.0f answers=%d bad=%d", r.Order.To, r.Phase, r.Why, r.Reached, r.Tried, r.Answers, r.Bad)
 	for _, route := range slices.Sorted(maps.Keys(r.Routes)) {
@@ -38,7 +39,7 @@
 	return text
 }
 
-// SendRollouts sends the progress of roll-outs to the linked hosts, if this host leads.
+// SendRollouts sends the progress of rollouts to the linked hosts, if this host leads.
 func (h *Home) SendRollouts(steps []rollout.Status) {
 	if !h.leads.Load() {
 		return
@@ -71,7 +72,7 @@
 	return out
 }
 
-// learnRollouts applies the progress of roll-outs that the home reports.
+// learnRollouts applies the progress of rollouts that the home reports.
 func (c *Client) learnRollouts(list []*wire.Rollout) {
 	if len(list) == 0 {
 		return
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -8,9 +8,10 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// A host without a home takes these fractions of its even share. Of servers it takes the
-// even share: when the home pauses, all hosts schedule locally at once, and with 1.6 they
-// overload engines that are already full (the value of a day with many such pauses drops by
+// A standalone host, which has no home and schedules only for itself, takes these fractions of
+// its even share (one n-th, for n hosts). Of servers it takes the whole even share: when the
+// home pauses, all hosts schedule locally at once, and with 1.6 they overload inference engines
+// that are already full (in a run with many such pauses, the value of the answers drops by
 // 0.03). Of quotas and of the rate limits that servers state it takes less, because the home
 // continues to use all of them and the total over all hosts is bounded.
 const (
@@ -20,12 +21,13 @@
 )
 
 const (
+	// settleTime is how long a host that has just started may need to discover the others.
+	settleTime = member.SettleTime
 	// A host that discovers no other host within discoveryTimeout assumes that it is the
 	// only one. Until then it assumes a fleet of unknownFleetHosts for its share of servers
 	// and takes unknownFleetLimitShare of quotas and rate limits. That is less than an even
 	// share of any fleet; requests beyond it wait briefly until the store has reported the
 	// other hosts.
-	settleTime             = member.SettleTime
 	discoveryTimeout       = 3 * time.Second
 	unknownFleetHosts      = 6
 	unknownFleetLimitShare = 0.001
@@ -34,7 +36,9 @@
 	partitionTimeout = 15 * time.Second
 )
 
-// lead sets the share of a host that is the home.
+// lead makes this host schedule for all hosts and sets its share, or sets the standalone share
+// if it must not lead yet. takesOver is set if the ranking still names another host as the
+// home.
 //
 // After a power loss all hosts start at the same time, and each knows only itself at first.
 // If each acted as the home for all, every account would get its quota once per host. So a
@@ -43,11 +47,11 @@
 //
 // A host that takes over from a home which others may still follow leads once most hosts
 // follow it, with their share of the quotas. A home that most hosts have left, or have not
-// found within discoveryTimeout, takes the share of the remaining ones.
+// found within discoveryTimeout, takes the share of the hosts that follow it.
 func (f *Follower) lead(takesOver bool) {
 	live, silent := f.countHosts()
-	age := time.Since(f.started)
-	if age < settleTime && !f.membershipComplete(live) || live == 1 && f.listedHosts() != 1 && age < discoveryTimeout {
+	uptime := time.Since(f.started)
+	if uptime < settleTime && !f.membershipComplete(live) || live == 1 && f.listedHosts() != 1 && uptime < discoveryTimeout {
 		f.goStandalone()
 		return
 	}
@@ -76,8 +80,8 @@
 }
 
 const (
-	// fullShareThreshold is the fraction of the live hosts from which on a home has the full
-	// share: a few hosts are always switching from one home to another.
+	// A home that at least the fraction fullShareThreshold of the live hosts follow has the
+	// full share: a few hosts are always switching from one home to another.
 	fullShareThreshold = 0.9
 	// majority is a fraction of the hosts that at most one home can exceed.
 	majority   = 0.5
@@ -124,9 +128,9 @@
 	f.setLeading(false)
 	f.leadsSince, f.partialQuotas = time.Time{}, false
 	live, silent := f.countHosts()
-	n, age := max(live+silent, f.listedHosts()), time.Since(f.started)
+	n, uptime := max(live+silent, f.listedHosts()), time.Since(f.started)
 	f.standaloneHosts = n
-	if n == 1 && age < discoveryTimeout || f.listedHosts() == 0 && age < settleTime {
+	if n == 1 && uptime < discoveryTimeout || f.listedHosts() == 0 && uptime < settleTime {
 		f.standaloneHosts = 0
 		f.setShare(sched.Share{Servers: standaloneServerShare / unknownFleetHosts, Limits: unknownFleetLimitShare, Sends: unknownFleetLimitShare})
 		return
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -10,7 +10,7 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// Distribution of suspects, the requests under which servers ended:
+// Distribution of suspects, the requests under which servers ended and which may have caused it:
 //
 // The home sees the ends of all runs. Within a round of its loop it sends each change, 100
 // bytes, to the hosts that may take over, and urgent changes to all linked hosts. A host that
@@ -64,8 +64,8 @@
 	return out
 }
 
-// SendSuspects sends changed records to the linked hosts, if this host leads: all of them to
-// the hosts that may take over, and to the others those that are urgent or have left
+// SendSuspects sends changed records of suspects to the linked hosts, if this host leads: all
+// of them to the hosts that may take over, and to the others those that are urgent or have left
 // quarantine.
 func (h *Home) SendSuspects(records []quarantine.Record, lifted func(quarantine.Fingerprint) bool) {
 	if !h.leads.Load() {
@@ -119,10 +119,10 @@
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision { return s.LearnSuspects(now, records) })
 }
 
-// learnLoss records a run that was lost with its server in this host's own table as well. The
-// caller holds mu.
-func (c *Client) learnLoss(p *pending, shown bool) {
-	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, EventSeen: shown}
+// learnLoss records a run that was lost with its server in this host's own scheduler, in
+// addition to the home's. The caller holds mu.
+func (c *Client) learnLoss(p *pending, eventSeen bool) {
+	loss := quarantine.Loss{Fingerprint: p.ask.Fingerprint, Account: p.ask.Account, Service: p.ask.Service, Server: p.server, EventSeen: eventSeen}
 	c.pushLocal(func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		s.RecordLoss(now, loss)
 		return nil
@@ -140,7 +140,7 @@
 	}
 }
 
-// LearnSuspects applies records from the store.
+// LearnSuspects applies records of suspects from the store.
 func (l *Loop) LearnSuspects(records []quarantine.Record) {
 	l.push(context.Background(), func(now sched.Time, s *sched.Scheduler) []sched.Decision {
 		return s.LearnSuspects(now, records)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -17,8 +17,9 @@
 // loop, which does not depend on the home. If a request is not answered within maxAckTimeout,
 // or a ping within pingTimeout, the home becomes suspect: new requests go to the local loop.
 // Requests in the home's queue stay there for suspectTimeout, since most such pauses are
-// short, and if every host submitted all its waiting requests again, the engines would be
-// filled twice over. After that the link ends, and all requests move to the local loop.
+// short, and if every host submitted all its waiting requests again, the inference engines
+// would get twice the load that they can hold. After that the link ends, and all requests move
+// to the local loop.
 func (f *Follower) watch(ctx context.Context, l *homeLink, address string) {
 	tick := time.NewTicker(watchPeriod)
 	defer tick.Stop()
@@ -38,7 +39,7 @@
 	}
 }
 
-// enterLinkState performs the actions of the link state that was entered.
+// enterLinkState performs the actions of a link state when the link enters it.
 func (f *Follower) enterLinkState(l *homeLink, to chart.State, address string) {
 	switch to {
 	case linkSuspect:
@@ -57,7 +58,7 @@
 	}
 }
 
-// States and events of the link chart.
+// States and events of the state chart of a link.
 const (
 	linkAnswering chart.State = "answering"
 	linkSuspect   chart.State = "suspect"
@@ -93,7 +94,7 @@
 func (w *linkWatch) check(now time.Time) (changed bool) {
 	outstanding := w.ping != w.link.lastPong.Load()
 	if e := w.observe(now, outstanding); e != linkNoEvent {
-		changed = w.machine.Fire(e) == nil // observe names only events that the state has
+		changed = w.machine.Fire(e) == nil // observe returns only events that the current state accepts
 		if e == linkSilent {
 			w.suspectSince = now
 		}
@@ -141,7 +142,7 @@
 // leadingPollPeriod is how often a home that does not lead yet is asked whether it does.
 const leadingPollPeriod = 250 * time.Millisecond
 
-// sendPing pings the home. The home answers it after all earlier messages.
+// sendPing pings the home. The home answers the ping after all earlier messages.
 func (w *linkWatch) sendPing(now time.Time) {
 	w.ping++
 	w.sentAt = now
