--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// suspected reports whether membership suspects a host that became unavailable. Large fleets
-// spread a suspicion too slowly to rely on, so there it is always false.
+// suspected reports whether membership suspects a host that became unavailable. In fleets of 50
+// hosts or more it is always false, since a suspicion spreads too slowly there to rely on it.
 func (h *fleetHost) suspected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/join.go
+++ b/internal/node/join.go
@@ -16,8 +16,8 @@
 	// are up within 300 ms of each other.
 	joinTimeout = 200 * time.Millisecond
 	// firstContactWait is how long a host waits after its first contact with another host while
-	// no contact knows the fleet yet. The first answer names the largest known fleet size, and
-	// gossip brings the other hosts while it settles.
+	// no contact knows the size of the fleet. The first answer states the largest known size, and
+	// gossip reports the other hosts within member.SettleTime.
 	firstContactWait = 50 * time.Millisecond
 	joinPollInterval = 10 * time.Millisecond // how often a joining host checks for contacts
 	// hostTablePeriod is how often the home reads the table of hosts, to find hosts on the
@@ -50,14 +50,14 @@
 //
 // Seeds of the settings usually answer within milliseconds and report the size of the fleet.
 // Only a host without contacts reads the table of hosts. If each of 195 hosts wrote a row and
-// read all rows at its start and every 30 s, this would take 800 calls to the store on a calm
-// day.
+// read all rows at its start and every 30 s, this would take 800 calls to the store in a load
+// run without failures.
 func (n *Node) join(ctx context.Context) {
 	n.awaitFleet(ctx)
 	close(n.joined)
 	if n.gossip.ReportedFleetSize() == 0 && n.role() == store.Reader {
-		// This host has no contacts, or may be the home of a fleet that starts anew, which
-		// grants requests only once it knows that all hosts are there.
+		// This host has no contacts, or may be the home of a restarting fleet, which schedules
+		// for all hosts as soon as it knows that they are there.
 		n.readHostTable(ctx)
 	}
 	tableSync := hostTableSync{node: n, retry: hostTableRetry}
@@ -67,8 +67,7 @@
 }
 
 // awaitFleet waits until another host has reported the size of the fleet, but no longer than
-// joinTimeout. When the hosts found so far do not know it either, it waits for firstContactWait
-// only.
+// joinTimeout, and no longer than firstContactWait after the first contact.
 func (n *Node) awaitFleet(ctx context.Context) {
 	start := time.Now()
 	var firstContact time.Time
@@ -103,9 +102,11 @@
 	quarantineLoaded bool          // this host is the home and has read the requests in quarantine
 	nextReleaseCheck time.Time     // when to check next whether an operator released a request
 	nextRead         time.Time     // when to read the table next
-	retry            time.Duration // between reads while this host is alone
+	retry            time.Duration // between reads while this host has no contacts
 }
 
+// check writes this host's row and reads the table when they are due. Only the home and a host
+// without contacts do so.
 func (t *hostTableSync) check(ctx context.Context, now time.Time) {
 	n := t.node
 	live := n.members.LiveCount()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,12 +40,12 @@
 	// shutdownDelay is how long a host that shuts down still accepts new requests: callers keep
 	// addresses for lookupTTL, and the platform's limit for requests after SIGTERM is 3 s.
 	shutdownDelay = 2500 * time.Millisecond
-	// exitMargin is the part of the grace time that is left for the process to exit.
+	// exitMargin is the part of Settings.Grace that is left for the process to exit.
 	exitMargin    = 300 * time.Millisecond
 	drainPoll     = 20 * time.Millisecond
 	headerTimeout = 5 * time.Second
 	// idleTimeout exceeds the longest time that the configuration lets callers keep an idle
-	// connection, so that the host closes none while a request arrives.
+	// connection, so that the host does not close a connection while a request arrives.
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 64 << 10
 	// memoryShare is the fraction of the memory limit that becomes the garbage collector's soft
@@ -63,7 +63,8 @@
 	OperatorTable string
 	ServerTable   string
 	HostTable     string
-	// QuarantineTable holds the requests in quarantine, so that hosts that start can read them.
+	// QuarantineTable holds the requests in quarantine (requests that are not run, since servers
+	// ended under them), so that hosts that start can read them.
 	QuarantineTable string
 	// StatusTable shows operators the progress of their rollout orders. RolloutTable is the
 	// scheduler's own record, from which a new home resumes a rollout.
@@ -104,7 +105,7 @@
 	storedHosts      atomic.Pointer[hostList]
 	quarantined      *quarantineStore
 	rollouts         *rollouts
-	joined           chan struct{} // closed when the search for other hosts is over and tables may be read
+	joined           chan struct{} // closed when the wait for other hosts is over and tables may be read
 	configRowVersion int64         // version of the newest configuration row applied; only the watcher uses it
 	leaving          atomic.Bool
 	share            sched.Share // last passed to the loop; only the follower uses it
@@ -192,8 +193,8 @@
 	})
 }
 
-// fleetName is announced when sessions open, so that hosts of different systems do not connect.
-// A platform runs one system.
+// fleetName is announced when sessions open, so that hosts of different fleets do not connect.
+// A platform runs one fleet.
 const fleetName = "platform"
 
 // peerObserver passes what sessions find out about other hosts to the member table.
@@ -306,20 +307,21 @@
 	}()
 }
 
-// addresses lists the entry addresses for a look-up and how long callers may keep them.
+// addresses returns the entry addresses for a look-up and how long callers may keep them. ok is
+// false if no host is live.
 func (n *Node) addresses() (list []string, ttl time.Duration, ok bool) {
 	list = lookupAddresses(n.members.All())
 	return list, lookupTTL, len(list) > 0
 }
 
-// maxLookupAddresses is the most addresses that a look-up may return.
+// maxLookupAddresses is the maximum number of addresses that a look-up may return.
 const maxLookupAddresses = 64
 
 // lookupAddresses returns the addresses of up to maxLookupAddresses live hosts, in random
 // order. A host that is leaving is not among them.
 //
 // Callers keep no more than maxLookupAddresses. With a fixed order, 8 hosts of a fleet of 72
-// would get no callers and the others more than their share.
+// would get no callers, and the others would get more than their share.
 func lookupAddresses(members []member.Member) []string {
 	var list []string
 	for _, m := range members {
--- a/internal/node/propagation_test.go
+++ b/internal/node/propagation_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// A server that has left must not get work for long. The store refuses or does not answer all
-// its readers and a third of the other hosts while it serves the rest. Servers drain or delete
-// their entries during the outage and after it.
+// A server that has left must not get work for long. The store refuses the calls of all its
+// readers and of a third of the other hosts, or does not answer them, while it serves the
+// remaining hosts. Servers drain or delete their entries during the outage and after it.
 func TestServersThatLeaveWhileTheReadersAreTurnedAway(t *testing.T) {
 	for _, how := range []availability{silent, refused} {
 		for _, hosts := range fleetSizes {
@@ -86,8 +86,8 @@
 	}
 }
 
-// As above, while the home is frozen, alone or with the next readers: the other hosts wait for
-// its updates and fail to connect to it.
+// A server that has left must not get work for long while the home is frozen, alone or with the
+// next readers: the other hosts wait for its updates and fail to connect to it.
 func TestServersThatLeaveWhileReadersStandStill(t *testing.T) {
 	for _, hosts := range fleetSizes {
 		for frozenHosts := 1; frozenHosts <= 3; frozenHosts++ {
@@ -142,8 +142,9 @@
 	return home, connected
 }
 
-// As above, in a sequence of outages of random parts of the fleet: a third to a half of the
-// hosts get no answer from the store or are refused, or some readers are frozen.
+// A server that has left must not get work for long in a sequence of outages that affect random
+// parts of the fleet: a third to a half of the hosts get no answer from the store or are refused,
+// or some readers are frozen.
 // PROPAGATION_SEEDS is the number of seeds to run. Without it the test runs seed 0 and the
 // seeds that failed before.
 func TestServersThatLeaveInRandomOutages(t *testing.T) {
@@ -214,9 +215,9 @@
 	if kind == frozen {
 		return f.hosts[:1+f.rng.IntN(3)]
 	}
-	share := 1/3.0 + f.rng.Float64()/6
+	fraction := 1/3.0 + f.rng.Float64()/6
 	for _, h := range f.hosts {
-		if f.rng.Float64() < share {
+		if f.rng.Float64() < fraction {
 			unavailable = append(unavailable, h)
 		}
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,20 +18,20 @@
 	minWriteRetry = 250 * time.Millisecond
 	maxWriteRetry = 4 * time.Second
 	// releaseCheckPeriod is how often the home checks whether an operator has released a
-	// request, while one is in quarantine.
+	// request from quarantine, while one is there.
 	releaseCheckPeriod = 10 * time.Second
-	// quarantineRowTTL is how long a row is in force. If the request comes again after that, it
-	// ends at most three more servers.
+	// quarantineRowTTL is how long a row is in force. If the request arrives again after that, at
+	// most three more servers end under it.
 	quarantineRowTTL = 24 * time.Hour
 )
 
-// quarantineStore keeps the requests in quarantine in the platform's store, where they outlast
-// all hosts. The host that quarantines a request writes its row, and a new home writes it if
-// that host could not. Only the home deletes the row. Each request takes two calls. mu guards
-// pending and known.
+// quarantineStore keeps the requests in quarantine in the platform's store, where they survive
+// the loss of all hosts. The host that quarantines a request writes its row, and a new home
+// writes it if that host could not. Only the home deletes the row. Each quarantined request
+// takes two calls to the store, a write and a deletion. mu guards pending and known.
 //
-// Without the rows, a power loss of all hosts at once would lose the quarantine, and the
-// request would end three more servers each time.
+// Without the rows, a power loss of all hosts at once would lose the quarantine, and each time
+// the request would end three more servers.
 type quarantineStore struct {
 	host   string
 	table  string
@@ -53,7 +53,8 @@
 	}
 }
 
-// applyChanges takes over changed records. It does not block.
+// applyChanges updates the known requests with changed records and schedules the writes of their
+// rows. It does not block.
 func (q *quarantineStore) applyChanges(records []quarantine.Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// hasAny reports whether a request is in quarantine.
+// hasAny reports whether any request is in quarantine.
 func (q *quarantineStore) hasAny() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -151,7 +152,7 @@
 }
 
 // load reads the rows and passes the requests in quarantine and those released by an operator
-// to the loop. It fails with StoreDown; the known requests stay then.
+// to the loop. If it fails with StoreDown, the known requests stay.
 func (q *quarantineStore) load(ctx context.Context, loop *dispatch.Loop) error {
 	rows, _, err := q.tables.Snapshot(ctx, q.table)
 	if err != nil {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -31,7 +31,7 @@
 // wishesRead, retry and notBefore belong to the goroutine of run; mu guards the fields below
 // it.
 type rollouts struct {
-	host     string // and its incarnation
+	host     string // name and incarnation of this host
 	platform Platform
 	loop     *dispatch.Loop
 	leads    func() bool
@@ -40,7 +40,8 @@
 
 	handled    map[string]int64 // by service, the row version of the order that this host handles
 	wishesRead time.Time
-	// retry is the delay after a failed call, which doubles. No call is made before notBefore.
+	// retry is the delay after a failed call; it doubles with each further failure. No call is
+	// made before notBefore.
 	retry     time.Duration
 	notBefore time.Time
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// applyOrder takes over a row of the operator's table if it is an order. After an invalid
+// applyOrder applies a row of the operator's table if it is an order. After an invalid
 // order, the previous one stays in force.
 func (r *rollouts) applyOrder(row store.Row) {
 	o, ok, err := r.platform.DecodeOrder(row.Key, row.Value, row.Version)
@@ -133,7 +134,7 @@
 	return false
 }
 
-// dropTrials stops this host's trials: another host leads now.
+// dropTrials stops this host's trials, because another host leads now.
 func (r *rollouts) dropTrials() {
 	if len(r.handled) == 0 {
 		return
@@ -157,6 +158,7 @@
 	return out
 }
 
+// claimOrders claims the orders that this host does not handle yet.
 func (r *rollouts) claimOrders(ctx context.Context) {
 	unhandledOrders := r.unhandledOrders()
 	if len(unhandledOrders) == 0 {
@@ -183,8 +185,9 @@
 // claimOrder makes this host handle an order, unless the store shows that it has been carried
 // out.
 //
-// The host that handled it before may be alive but cut off, and write its outcome late. This
-// host writes the row again, so that the version condition of such a write fails.
+// The host that handled it before may be alive behind a network partition, and write its
+// outcome late. This host writes the row again, so that the version condition of such a write
+// fails.
 func (r *rollouts) claimOrder(ctx context.Context, o rollout.Order, current store.Row, storeNow time.Duration) {
 	row, resumed := rollout.Row{Order: o.Row, To: o.To, Phase: rollout.Trying, BegunMs: storeNow.Milliseconds()}, false
 	if current.Version != 0 {
@@ -207,6 +210,7 @@
 	r.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.StartTrial(now, o, elapsed, resumed) })
 }
 
+// settleOrder passes the final phase of an order to the scheduler.
 func (r *rollouts) settleOrder(o rollout.Order, p rollout.Phase) {
 	r.loop.Do(func(_ sched.Time, s *sched.Scheduler) { s.SetOrderPhase(o, p) })
 }
@@ -230,7 +234,7 @@
 	return err
 }
 
-// writeOutcomes writes how trials ended, and retries until the store has it.
+// writeOutcomes writes how trials ended. An outcome whose write failed is kept for the next call.
 func (r *rollouts) writeOutcomes(ctx context.Context) {
 	r.mu.Lock()
 	unwritten := make([]rollout.Status, 0, len(r.outcomes))
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -65,7 +65,7 @@
 	n.tasks.Go(func() { n.join(run) })
 	n.tasks.Go(func() { n.quarantined.run(run) })
 	n.tasks.Go(func() { n.rollouts.run(run) })
-	n.tasks.Go(func() { n.releaseReaders(run) })
+	n.tasks.Go(func() { n.endWaitsOnHomeChange(run) })
 	n.watch(run, n.platform.OperatorTable, n.applyConfig)
 	n.watch(run, n.platform.ServerTable, n.servers.update)
 	n.tasks.Go(func() { n.tick(run) })
@@ -91,8 +91,9 @@
 	})
 }
 
-// newWatcher returns a watcher for a table. It reads through the hosts that read the store for
-// all, and passes updates on through this host's relay.
+// newWatcher returns a watcher for a table. It gets updates from the hosts that read the store
+// for all, or from the store if this host is one of them, and forwards them through this host's
+// relay.
 func newWatcher(direct store.Tables, readers store.Readers, relays *store.Relays, table string, events *event.Recorder, apply func(store.Update)) *store.Watcher {
 	relay := relays.Table(table)
 	tables := store.NewRelayedTables(direct, readers, relay.StoreFailed)
@@ -150,9 +151,9 @@
 // role is this host's role in reading the tables for others.
 func (n *Node) role() store.Role { return tableReaders{n}.ReaderOrder().Role() }
 
-// releaseReaders makes hosts that wait for updates from this one choose their reader again
+// endWaitsOnHomeChange makes hosts that wait for updates from this one choose their reader again
 // whenever another host becomes the home.
-func (n *Node) releaseReaders(ctx context.Context) {
+func (n *Node) endWaitsOnHomeChange(ctx context.Context) {
 	changed := n.members.Subscribe()
 	var home member.Member
 	for {
@@ -188,9 +189,10 @@
 }
 
 // shutDown stops the host without cutting off requests. Look-ups and readiness checks stop
-// naming this host at once, and the home moves. Callers that still have the address are served
-// for shutdownDelay, and each answer closes its connection. Then new requests are refused, and
-// shutDown waits for requests in progress, but no longer than the grace time less exitMargin.
+// naming this host at once, and if it is the home, another host becomes the home. Callers that
+// still have the address are served for shutdownDelay, and each answer closes its connection.
+// Then new requests are refused, and shutDown waits for requests in progress, but no longer than
+// Settings.Grace less exitMargin.
 func (n *Node) shutDown() {
 	start := time.Now()
 	n.events.Record(event.ProcessDraining, event.Fields{})
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// minStoreOutage is the shortest silence of the store after which entries of live servers
-	// may have expired. A call that waits for changes, or one that is retried, takes less.
+	// minStoreOutage is the shortest time without an answer of the store after which entries of
+	// live servers may have expired. A call that waits for changes, or one that is retried, takes
+	// less.
 	minStoreOutage = 2500 * time.Millisecond
-	// lapseGrace is how long after the end of an outage of the store a server without an entry
-	// stays in use. Live servers write their entries about every 1.2 s.
-	lapseGrace = 2200 * time.Millisecond
+	// expiredEntryGrace is how long after the end of an outage of the store a server without an
+	// entry stays in use. Live servers write their entries about every 1.2 s.
+	expiredEntryGrace = 2200 * time.Millisecond
 	// sweepPeriod is how often servers without an entry are checked.
 	sweepPeriod = 500 * time.Millisecond
-	// goneRetention is how long an incarnation that left is remembered. It exceeds the time
-	// that a home can go on without the store.
+	// goneRetention is how long an incarnation that left the list is remembered. It exceeds the
+	// time that a home can go on without the store.
 	goneRetention = 5 * time.Minute
 )
 
 // servers is the list of backend servers according to the store. Entries are keyed by the
-// server's name; servers that left are keyed by incarnation, since a server may start again
-// under its name. mu guards the fields below it.
+// server's name; servers that left are keyed by incarnation (sched.Server.ID), since a server may
+// start again under its name. mu guards the fields below it.
 type servers struct {
 	decode func(name string, value []byte) (sched.Server, error)
 	events *event.Recorder
@@ -89,8 +90,8 @@
 
 // decodeRows decodes rows; the last row for a name counts.
 //
-// When other servers' entries have a start time, an entry without one is rejected: another
-// program wrote it, and requests would be sent to whatever address it gives.
+// When other servers' entries have a start time, an entry without one is rejected: a program
+// other than a server wrote it, and requests would be sent to whatever address it gives.
 func (s *servers) decodeRows(rows []store.Row) map[string]serverRow {
 	entries := make(map[string]serverRow, len(rows))
 	anyStartTime := false
@@ -129,7 +130,7 @@
 	}
 	delete(s.gone, srv.ID)
 	if ok {
-		srv.WarmUp = current.WarmUp // the cold start counts from when the server was first seen
+		srv.WarmUp = current.WarmUp // the warm-up counts from when the server was first seen
 	}
 	if !ok || current.Draining != srv.Draining {
 		s.events.Record(event.ServersChanged, event.Fields{Server: srv.ID, Service: srv.Service, Detail: describeState(srv)})
@@ -174,19 +175,19 @@
 //
 // During an outage of the store, heartbeats cannot renew the entries of live servers. Dropping
 // all servers when the store returns would stop all work. Live servers write their entries
-// again within seconds; the others are dropped after lapseGrace.
+// again within seconds; the others are dropped after expiredEntryGrace.
 func (s *servers) remove(name string, now time.Time, u store.Update) {
 	delete(s.invalid, name)
 	srv, ok := s.known[name]
 	if !ok {
 		return
 	}
-	if since := now.Sub(s.outageEnd); since < lapseGrace {
+	if since := now.Sub(s.outageEnd); since < expiredEntryGrace {
 		if _, ok := s.missing[name]; !ok {
 			s.missing[name] = now
 			s.events.Record(event.ServerMissing, event.Fields{
 				Server: srv.ID, Service: srv.Service, Peer: u.Reader,
-				Detail: "still used for " + (lapseGrace - since).Round(time.Millisecond).String() + "; gap=" + u.Gap.Round(time.Millisecond).String(),
+				Detail: "still used for " + (expiredEntryGrace - since).Round(time.Millisecond).String() + "; gap=" + u.Gap.Round(time.Millisecond).String(),
 			})
 		}
 		return
@@ -202,9 +203,9 @@
 	s.gone[srv.ID] = time.Now()
 }
 
-// sweep drops the missing servers once lapseGrace is over.
+// sweep drops the missing servers once expiredEntryGrace is over.
 func (s *servers) sweep(now time.Time) {
-	if len(s.missing) == 0 || now.Sub(s.outageEnd) < lapseGrace {
+	if len(s.missing) == 0 || now.Sub(s.outageEnd) < expiredEntryGrace {
 		return
 	}
 	for name := range s.missing {
@@ -212,8 +213,8 @@
 	}
 }
 
-// tick runs every sweepPeriod, so that missing servers are dropped even if the store reports no
-// change.
+// tick is called every sweepPeriod, so that missing servers are dropped even if the store reports
+// no change. It also forgets incarnations after goneRetention.
 func (s *servers) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -56,12 +56,12 @@
 		s.update(store.Update{Whole: true, Gap: 2 * minStoreOutage})
 		Expect(list).To(HaveLen(2))
 		s.update(store.Update{Rows: rowsOf("a")})
-		s.outageEnd = s.outageEnd.Add(-2 * lapseGrace)
+		s.outageEnd = s.outageEnd.Add(-2 * expiredEntryGrace)
 		s.tick()
 		Expect(list).To(ConsistOf(HaveField("ID", "a")))
 	})
 
-	It("keeps the cold start time that was first reported", func() {
+	It("keeps the warm-up time that was first reported", func() {
 		s.known["a"] = sched.Server{ID: "a", Address: "a", WarmUp: time.Second}
 		s.update(store.Update{Rows: rowsOf("a")})
 		Expect(s.known["a"].WarmUp).To(Equal(time.Second))
@@ -75,12 +75,12 @@
 	// row builds a server's entry from its start time and state; "?" cannot be decoded.
 	row := func(name, value string) store.Row { return store.Row{Key: name, Value: []byte(value)} }
 	decode := func(name string, value []byte) (sched.Server, error) {
-		var born int64
+		var startedMs int64
 		var state string
-		if _, err := fmt.Sscan(string(value), &born, &state); err != nil {
+		if _, err := fmt.Sscan(string(value), &startedMs, &state); err != nil {
 			return sched.Server{}, failure.New(failure.BadConfig, "cannot be decoded")
 		}
-		return sched.Server{ID: fmt.Sprint(name, "@", born), Address: name, StartedMs: born, Draining: state == "draining"}, nil
+		return sched.Server{ID: fmt.Sprint(name, "@", startedMs), Address: name, StartedMs: startedMs, Draining: state == "draining"}, nil
 	}
 	ids := func() []string {
 		var out []string
@@ -110,7 +110,7 @@
 		Expect(s.hasAddress("a@2", "a")).To(BeTrue())
 	})
 
-	It("reset the cold start time when the server starts again", func() {
+	It("reset the warm-up time when the server starts again", func() {
 		s.known["a"] = sched.Server{ID: "a@1", Address: "a", StartedMs: 1, WarmUp: time.Second}
 		s.update(store.Update{Rows: []store.Row{row("a", "2 ready")}})
 		Expect(s.known["a"].WarmUp).To(BeZero())
@@ -118,7 +118,7 @@
 
 	// Another program writes into the table. If an entry that cannot be decoded left the
 	// previous one in force, requests would go to a server that the table no longer names.
-	It("are ignored when they cannot be decoded, at any position; the others count", func() {
+	It("are ignored when they cannot be decoded, at any position, and the other entries count", func() {
 		for _, rows := range [][]store.Row{
 			{row("x", "?"), row("a", "1 ready"), row("b", "1 ready")},
 			{row("a", "1 ready"), row("x", "?"), row("y", "?"), row("b", "1 ready")},
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,6 +1,11 @@
-// Package node assembles one entry host on the prepared platform: the entry for callers, the
-// scheduler, membership, and the watchers of the store's tables. The home is the host that runs
-// the scheduler for all.
+// Package node assembles one entry host: the HTTP entry for callers, the scheduler, the
+// membership of the hosts, and the watchers of the store's tables. The home is the host that
+// runs the scheduler for all hosts.
+//
+// Node owns the listeners and goroutines of a host. Platform is what the adapter of the
+// platform provides to it, and Settings what the platform's settings state. The type servers
+// holds the list of backend servers, quarantineStore writes the requests in quarantine to the
+// store, and rollouts carries out the operators' rollout orders.
 package node
 
 import (
@@ -28,7 +33,8 @@
 	// EntryTTL is the longest time that the store lists a server after it has ended; 0 means
 	// unknown.
 	EntryTTL time.Duration
-	// RolloutBounds limits the share of requests that a version on trial may get.
+	// RolloutBounds limits the share of requests that the new version of a service may get
+	// during a rollout's trial.
 	RolloutBounds rollout.Bounds
 	Policy        sched.Policy
 }
