--- a/internal/core/cache.go
+++ b/internal/core/cache.go
@@ -62,8 +62,8 @@
 // maxEvictionScan limits how many entries evictedTokens looks at.
 const maxEvictionScan = 64
 
-// evictedTokens counts the tokens of shared prefixes that a cache of size
-// tokens would evict to take in tokens more.
+// evictedTokens counts the tokens of shared prefixes that a cache of the given
+// size would evict to store the given number of tokens.
 func (c *cacheModel) evictedTokens(tokens, size int) int {
 	free, evicted := size-c.tokens, 0
 	for e, n := c.recent.Back(), 0; e != nil && free < tokens && n < maxEvictionScan; e, n = e.Prev(), n+1 {
@@ -120,8 +120,8 @@
 }
 
 // recordUse updates the cache model of s and the prefix index after r was
-// granted to s: r's prefix becomes the most recent one and the rest of its
-// prompt is added.
+// granted to s: r's prefix and whole prompt become the most recent entries. The
+// entry of the whole prompt counts only the tokens after the prefix.
 func (c *Cell) recordUse(now Time, s *server, r *Request) {
 	c.touchCache(now, s, r.Prefix, r.PrefixTokens, true)
 	if r.Whole != r.Prefix {
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -26,17 +26,17 @@
 	byID           map[ident.ServerID]*server
 	tiers          []*tierQueue // most urgent first
 	timers         indexedHeap[*item]
-	cachingServers map[prefix.Key][]*server
+	cachingServers map[prefix.Key][]*server // the prefix index: usable servers that have a prefix cached
 	ledger         ledger
 	liveMembers    []ident.Incarnation // members that may hold requests
 	sessions       map[ident.Incarnation]*session
 	resends        map[ident.RequestID]*resend
 	parked         []*item // waiting requests of holders whose newest stamp is too old for a grant
-	orphans        []*run
+	orphans        []*run  // runs of holders whose session has ended
 
 	reportDeadline Time
 	grantsEnabled  bool
-	currentHitMark uint64 // see server.cacheHitMark
+	currentHitMark uint64 // number of chooseServer calls; see server.cacheHitMark
 	best           bestCase
 	nextSeq        uint64
 	waitCount      int
@@ -280,9 +280,9 @@
 	c.grantsEnabled = true
 }
 
-// expireOrphans frees the slots of requests whose holder died at their
-// predicted end: nobody reports the end, and the server may have continued
-// the request.
+// expireOrphans ends the orphans whose predicted end passed OrphanGrace ago.
+// Their slots count as occupied until then, because the server may have
+// continued the request and nobody reports its end.
 func (c *Cell) expireOrphans() {
 	kept := c.orphans[:0]
 	for _, r := range c.orphans {
--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -104,7 +104,7 @@
 
 	// One client account floods the queue. With first come, first served within a
 	// tier, requests of other accounts would wait behind all of its requests.
-	It("is fair between client accounts by work", func() {
+	It("shares the servers fairly between client accounts by work", func() {
 		f := newFixture(1000, singleSlotServer)
 		f.register(3, nil)
 		for range 20 {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -114,7 +114,8 @@
 	}
 	evicted := s.cache.evictedTokens(r.PromptTokens, s.spec.CacheTokens)
 	price += prefillAtUnitSpeed(evicted, c.policy.EvictPrice)
-	// The caller waits for what the cell saves, so its deadline limits the price.
+	// The price can delay the request in order to save compute, so it is limited
+	// to a share of the time left until the deadline.
 	maxPrice := time.Duration(float64(r.Deadline.Sub(c.now)) * c.policy.PriceShare)
 	return cost + min(price, max(0, maxPrice))
 }
@@ -125,9 +126,9 @@
 	return time.Duration(float64(prefillStepTime) * float64(tokens) / chunkTokens * price)
 }
 
-// waitForSlot estimates how long a request of a tier waits for s. Slots become
-// free evenly over the running requests, and the requests ahead in the queue
-// take them first.
+// waitForSlot estimates how long a request of a tier waits for s. It assumes
+// that the running requests end at even intervals, and that the waiting requests
+// of this tier and those above it whose prefix s has cached take slots first.
 func (c *Cell) waitForSlot(s *server, rank int) time.Duration {
 	ahead := 1
 	for i := 0; i <= rank && i < len(s.cachedWaiting); i++ {
@@ -173,8 +174,8 @@
 	c.waitCount--
 }
 
-// agesAt returns when a request has waited long enough for a server that has
-// its prefix cached or, if none has, behind other requests.
+// agesAt returns when a request becomes aged. isCached is set when some server
+// has its prefix cached.
 func (c *Cell) agesAt(it *item, isCached bool) Time {
 	share := c.policy.AgeShare
 	if isCached {
@@ -237,20 +238,16 @@
 	return nil
 }
 
-// pickFromTier chooses a request for s within a tier, in this order: an aged
-// request whose prefix no server has cached, within the server's miss budget;
-// one whose prefix s has cached; one whose prefix no server has cached; an aged
-// one whose prefix another server has cached. Only the last recomputes a prefix
-// that is cached elsewhere, and only when s has nothing else to do in the tier.
-// So no request waits forever, and caches are not overwritten just when work is
-// scarce.
+// pickFromTier returns the request of a tier that s takes now: the candidate or,
+// if that would miss its deadline, the newest request if that one can meet its
+// own. It returns nil if neither can.
 func (c *Cell) pickFromTier(s *server, q *tierQueue) *item {
 	it := c.candidate(s, q)
 	if it == nil || c.meetsDeadline(s, it) {
 		return it
 	}
-	// The chosen request is too late for this server; a faster one may still
-	// take it. The newest one has the most time left.
+	// The candidate is too late for this server; a faster one may still take
+	// it. The newest request has the most time left.
 	newest := q.shedOrder.min()
 	cachedElsewhere := len(newest.group.cachingServers) > 0 && !s.cache.contains(newest.req.Prefix)
 	if !cachedElsewhere && c.meetsDeadline(s, newest) {
@@ -266,7 +263,19 @@
 	return c.now.Add(s.predict(c.now, &it.req).total) <= it.req.Deadline
 }
 
-// candidate returns the request that s would take regardless of deadlines.
+// candidate returns the request that s would take regardless of deadlines. With
+// ServerPicks, the order is:
+//
+//  1. an aged request whose prefix no server has cached, within the server's
+//     miss budget and if no request of 2 has an earlier start tag;
+//  2. a request whose prefix s has cached;
+//  3. a request whose prefix no server has cached;
+//  4. an aged request whose prefix another server has cached, within the miss
+//     budget.
+//
+// Only 4 recomputes a prefix that is cached elsewhere, and only when s has
+// nothing else to do in the tier. So no request waits forever, and caches are
+// not overwritten just when work is scarce.
 func (c *Cell) candidate(s *server, q *tierQueue) *item {
 	if !c.policy.ServerPicks {
 		return q.first()
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -11,23 +11,25 @@
 	// EvictPrice multiplies the compute time of the shared prefixes that a
 	// miss would evict from a server's cache.
 	EvictPrice float64
-	// PriceShare bounds both prices by a share of the time that a request has
-	// left. So long it may wait for a server that has its prefix cached before
-	// the prefix is computed again.
+	// PriceShare limits the sum of both prices to a share of the time left
+	// until the request's deadline. This limits how long a request waits for a
+	// server that has its prefix cached rather than have it computed again.
 	PriceShare float64
 	// ServerPicks lets a server with a free slot choose a waiting request whose
 	// prefix it has cached. Without it, the first request of a tier takes any
 	// free slot.
 	ServerPicks bool
-	// AgeShare is the share of its deadline window that a request whose prefix
-	// no server has cached waits behind others before it goes first.
-	// HeldAgeShare is the share that a request waits for the servers that have
-	// its prefix cached before any other server may take it.
+	// AgeShare is the share of the time from arrival to deadline after which a
+	// request whose prefix no server has cached goes ahead of others.
+	// HeldAgeShare is the share after which any server may take a request that
+	// has waited for the servers that have its prefix cached.
 	AgeShare     float64
 	HeldAgeShare float64
 	// MissBudget limits the time that a busy server spends on aged requests
-	// whose prefix it does not have cached: after granting one, it takes no
-	// other for MissBudget times the predicted time of that prefill.
+	// whose prefix it does not have cached. After one has been granted to
+	// it, it takes no other for MissBudget times the predicted time of that
+	// prefill, except one whose prefix no server has cached, when no request
+	// waits whose prefix it has cached.
 	MissBudget float64
 	// Headroom is how many sequences of a server each tier leaves free for
 	// the tiers above it.
@@ -62,7 +64,7 @@
 	// from the newest stamp that the home had received from it. When a paused
 	// holder resumes, its grants have expired by its own clock.
 	GrantTTL = 2 * time.Second
-	// MaxStampAge is the age of a holder's newest stamp from which the home
+	// MaxStampAge is the age of a holder's newest stamp from which on the home
 	// grants nothing to it, because a grant would expire soon after arrival.
 	MaxStampAge = 1 * time.Second
 	// MoveHold is how long a holder that leaves a home without Left waits
@@ -71,9 +73,9 @@
 	// elsewhere, so the home's ledger covers it.
 	MoveHold = 2 * time.Second
 	// ReportTimeout is how long a new home waits for the reports of the live
-	// holders before its first grant. From the reports it learns what runs.
+	// holders before its first grant. The reports list the running requests.
 	ReportTimeout = 300 * time.Millisecond
-	// OrphanGrace is added to the predicted end of a request whose holder
-	// died, before its slot at the server counts as free.
+	// OrphanGrace is added to the predicted end of a request whose holder died
+	// or left, before its slot at the server counts as free.
 	OrphanGrace = 2 * time.Second
 )
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -54,7 +54,7 @@
 			h.sessionOpen = h.sessionOpen || h.inc == r.Holder
 		}
 	}
-	m.t.Logf("%v home %d takes %T%+v", time.Duration(m.now), home, ev, ev)
+	m.t.Logf("%v home %d receives %T%+v", time.Duration(m.now), home, ev, ev)
 	actions := m.homes[home].cell.Step(m.now, ev, nil)
 	m.checkTiers(home, actions)
 	for _, a := range actions {
@@ -313,7 +313,8 @@
 	h.lastStamp = m.now
 }
 
-// leave ends a session in order; events queued on it before are delivered first.
+// leave queues a Left. Events that were queued on the session before are
+// delivered first.
 func (m *model) leave(t *rapid.T) {
 	h := drawFrom(t, "holder", m.liveHolders(func(h *modelHolder) bool { return h.homeAlive() && !m.homes[1-h.home].dead }))
 	h.fromHome = nil
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -12,7 +12,7 @@
 	startTag float64 // start tag of start-time fair queuing, in seconds of work
 	seq      uint64  // order of arrival, breaks ties
 	group    *group
-	aged     bool
+	aged     bool // see the terms of the package
 	timerAt  Time // next timer: aging, then the latest start
 
 	groupIndex, shedIndex, timerIndex int // indexes in the heaps, -1 outside
@@ -49,8 +49,9 @@
 	groups    map[prefix.Key]*group
 	uncached  indexedHeap[*group] // non-empty groups whose prefix no usable server has cached
 	shedOrder indexedHeap[*item]  // latest start tag first
-	aged      indexedHeap[*item]  // requests that have waited long, earliest start tag first
-	// agedCached holds the aged requests whose prefix some server has cached.
+	aged      indexedHeap[*item]  // aged requests, earliest start tag first
+	// agedCached holds the aged requests whose prefix was found to be cached at
+	// another server; see firstAged.
 	agedCached  indexedHeap[*item]
 	flows       map[ident.AccountID]*flow
 	virtualTime float64
--- a/internal/core/resend.go
+++ b/internal/core/resend.go
@@ -39,11 +39,12 @@
 	}
 }
 
-// registerKnown handles an id that is in the ledger. The same holder with the
-// same attempt only repeats itself: a grant that was lost with an old session is
-// resolved by the holder's report. Another holder is attached to a granted id.
-// If the id only waits, it is revoked at the other holder when the request is a
-// resend, that is, the caller lost that holder. Otherwise two callers use the
+// registerKnown handles an id that is in the ledger. A repetition by the same
+// holder, for a waiting id or with the same attempt, is ignored: a grant that
+// was lost with an old session is resolved by the holder's report. Another
+// holder is attached to a granted id. If the id only waits, it is revoked at its
+// holder when the request is a resend, that is, the caller lost that holder, or
+// when that holder can't be granted anything now. Otherwise two callers use the
 // same key through different hosts, and the second is attached to the first:
 // revoking would let them revoke each other forever.
 func (c *Cell) registerKnown(r Request, e *entry) {
@@ -71,9 +72,9 @@
 	return append(list, inc)
 }
 
-// startResend sends a revoke to every tried holder, even when the ledger does
-// not have the id: the request may be on its way from the holder, or the holder
-// may follow another home.
+// startResend sends a revoke to every tried holder that is not covered, even
+// when the ledger does not have the id: the request may be on its way from the
+// holder, or the holder may follow another home.
 func (c *Cell) startResend(r Request, tried []ident.Incarnation) {
 	p := &resend{req: r}
 	for _, inc := range tried {
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -40,7 +40,7 @@
 	predictedEnd        Time
 	predictedFirstToken Time
 	usedPrefillScale    float64 // prefill scale that the prediction used
-	orphan              bool    // its holder died; ends at predictedEnd plus OrphanGrace
+	orphan              bool    // its holder's session has ended; ends at predictedEnd plus OrphanGrace
 }
 
 // sample is the number of running requests from a moment on.
@@ -68,7 +68,7 @@
 	cachedGroups     [][]*group // by tier rank: groups of waiting requests whose prefix is cached
 	cachedWaiting    []int      // by tier rank: number of requests in those groups
 	predictedEndSum  Time       // sum of the runs' predicted ends
-	cacheHitMark     uint64     // equals Cell.currentHitMark while chooseServer looks at a prefix in the cache
+	cacheHitMark     uint64     // equals Cell.currentHitMark if the prefix that chooseServer looks at is cached here
 	history          [historySamples]sample
 	sampleCount      int
 }
@@ -111,7 +111,8 @@
 	return time.Duration(step * s.decodeScale / s.spec.Speed)
 }
 
-// backlog returns the predicted time of the prefill that waits in the server.
+// backlog returns the predicted time until s has finished all prefill granted
+// so far.
 func (s *server) backlog(now Time) time.Duration {
 	return max(0, s.prefillEndsAt.Sub(now))
 }
@@ -127,7 +128,7 @@
 // prediction holds the predicted times from grant to first token and to end,
 // for a request granted now.
 type prediction struct {
-	miss  int
+	miss  int // prompt tokens to compute
 	first time.Duration
 	total time.Duration
 }
@@ -136,6 +137,7 @@
 	return s.predictMiss(now, r, s.missTokens(r))
 }
 
+// predictMiss predicts r with the given number of prompt tokens to compute.
 func (s *server) predictMiss(now Time, r *Request, miss int) prediction {
 	if s.spec.Plain {
 		call := time.Duration(float64(plainCallTime) * s.decodeScale / s.spec.Speed)
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// restoreOrphans returns its runs to a holder that had only lost its connection.
+// restoreOrphans ends the orphan state of a holder's runs: the holder had only
+// lost its connection.
 func (c *Cell) restoreOrphans(h ident.Incarnation) {
 	kept := c.orphans[:0]
 	for _, r := range c.orphans {
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -54,9 +54,9 @@
 	return r.Deadline.Add(-t)
 }
 
-// processTimers ages requests that waited long enough for a server with their
-// prefix, and sheds those that no server can answer in time any more, before
-// prefill is spent on them.
+// processTimers marks the requests as aged that have waited long enough, and
+// sheds those that no server can answer in time any more, before prefill is
+// spent on them.
 func (c *Cell) processTimers() {
 	for c.timers.len() > 0 && c.timers.min().timerAt <= c.now {
 		it := c.timers.min()
@@ -73,8 +73,9 @@
 	}
 }
 
-// age lets any server take a request that waited long enough. A request whose
-// prefix is cached by now continues to wait.
+// age marks a request as aged, so that any server may take it. A request whose
+// prefix has been cached since its timer was set first waits until HeldAgeShare
+// of its time has passed.
 func (c *Cell) age(it *item, latest Time) {
 	if at := c.agesAt(it, len(it.group.cachingServers) > 0); c.now < at {
 		it.timerAt = min(at, latest)
@@ -144,7 +145,7 @@
 // admit makes room for one more waiting request and reports whether it may
 // wait. When the queue is full, the lowest tier is shed first, and within it the
 // request with the latest start tag: the newest one, or one of an account that
-// floods the queue.
+// floods the queue. Parked requests count as waiting and can be shed too.
 func (c *Cell) admit(it *item) bool {
 	if c.waitCount+len(c.parked) < c.maxWaiting {
 		return true
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -4,10 +4,12 @@
 // It is a pure state machine: Step takes the time and one event and returns
 // actions. It reads no clock, does no I/O and starts no goroutine, so the
 // daemon, the replay and the property tests run the same code, and the same
-// events always give the same actions.
+// events always give the same actions. Cell is the main type; the goroutine
+// that calls Step owns it.
 //
 // Terms:
 //
+//   - An incarnation identifies one running process of an entry host.
 //   - A cell is the queue and the scheduler of one service.
 //   - The home is the entry host that runs the cell for all hosts.
 //   - A holder is the entry host that received a request; it keeps the body,
@@ -20,6 +22,12 @@
 //     ever granted to it. Only then does the ledger prove that an id
 //     never ran.
 //   - To revoke an id is to ask its holder not to dispatch it any more.
+//   - A run is a granted request that has not finished. It occupies a slot of
+//     its server. It is an orphan once its holder's session has ended.
+//   - A tier is a priority class. Tiers with smaller numbers are more urgent; a
+//     lower tier is a less urgent one.
+//   - A request is aged when it has waited so long that it may go ahead of
+//     others, or to a server that does not have its prefix cached.
 package core
 
 import (
@@ -73,8 +81,9 @@
 	Claimed bool
 }
 
-// ServerSpec describes a backend server as listed in the inventory. Plain is
-// set for a service whose requests have no tokens.
+// ServerSpec describes a backend server as listed in the inventory. Speed is
+// relative to a server of speed 1. Plain is set for a service whose requests
+// have no tokens.
 type ServerSpec struct {
 	ID           ident.ServerID
 	Speed        float64
@@ -127,10 +136,10 @@
 		Waiting int           // maximum number of waiting requests
 		Horizon time.Duration // how long the ledger keeps ids
 	}
-	// Members lists the live incarnations of this cell, from membership.
+	// Members lists the incarnations of the live entry hosts, from membership.
 	Members struct{ Live []ident.Incarnation }
-	// Report opens a holder's session with its part of the ledger and its
-	// clock.
+	// Report opens a holder's session with its part of the ledger and the
+	// current value of its clock.
 	Report struct {
 		Holder  ident.Incarnation
 		Stamp   Stamp
@@ -141,7 +150,7 @@
 		Holder ident.Incarnation
 		Stamp  Stamp
 	}
-	// Left says that a holder moves to another home in order.
+	// Left says that a holder ends its session to move to another home.
 	Left struct{ Holder ident.Incarnation }
 	// Gone says that a holder's session broke or that membership lost it.
 	// Proved is set when its process is known to have ended: its port refuses
@@ -150,14 +159,16 @@
 		Holder ident.Incarnation
 		Proved bool
 	}
-	// Inherit is the ledger of the previous home, handed over when it leaves.
+	// Inherit is the ledger of the previous home, which hands it over when
+	// another host becomes the home. Covered lists the ended holders that the
+	// ledger covers.
 	Inherit struct {
 		Entries []LedgerEntry
 		Covered []ident.Incarnation
 	}
 	// Register asks for a grant.
 	Register struct{ Request Request }
-	// Withdraw takes a waiting request back because its caller has left.
+	// Withdraw takes a request back that its holder will not dispatch any more.
 	Withdraw struct {
 		ID     ident.RequestID
 		Holder ident.Incarnation
@@ -262,7 +273,8 @@
 	Shed
 	// Revoke asks To to give ID up, or to report where it was dispatched.
 	Revoke
-	// Attach tells To that Holder has or had ID and that it went to Server.
+	// Attach tells To that Holder has or had ID, and which Server it was
+	// granted to; 0 if none is known.
 	Attach
 	// Unproved tells To that it can't be proved whether ID ran.
 	Unproved
