--- a/internal/holder/dispatch.go
+++ b/internal/holder/dispatch.go
@@ -74,7 +74,8 @@
 	r.record(event.RequestDispatched, "")
 	srv := r.h.src.Backends(b.Address, r.Sub.Plain)
 	l.meter.addActive(server, 1)
-	// This process may be paused while it connects and continue after the grant has expired.
+	// This process may be paused while it connects and continue after the grant
+	// has expired.
 	valid := func() bool { return r.h.stamp() <= until }
 	call := backend.Call{ID: r.Sub.ID, Path: r.Sub.Path, ContentType: r.Sub.ContentType, Body: r.Sub.Body, Allowed: valid}
 	usage, err := srv.Send(ctx, call, &sink{r: r, l: l, server: server})
@@ -101,11 +102,11 @@
 // beginDispatch is the only transition that allows a dispatch.
 //
 // Since the grant arrived, this process may have been paused, and the home may
-// have drawn conclusions from the missing heartbeats; or a resend, an eviction
-// or the deadline may have ended the request. The grant's expiry is compared with the holder's own clock,
-// which continues during a pause, and the state chart refuses a request that
-// has ended. Both are checked under mu before the connection is opened; the
-// expiry is checked again before the first byte.
+// have treated this host as gone because it received no heartbeats; or a resend,
+// an eviction or the deadline may have ended the request. The grant's expiry is
+// compared with the holder's own clock, which continues during a pause, and the
+// state chart refuses a request that has ended. Both are checked under mu before
+// the connection is opened; the expiry is checked again before the first byte.
 func (r *Record) beginDispatch(until core.Stamp) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -11,6 +11,9 @@
 //     resumed by request id and part index, never dispatched again.
 //   - The request was sent to another host before: its answer is relayed from
 //     there, or resumed at the backend server when that host is dead.
+//
+// Holder owns the Records, one for each request. A Record owns the state of its
+// request and its Answer. A link for each service connects to the home.
 package holder
 
 import (
@@ -64,7 +67,7 @@
 	mu        sync.Mutex
 	records   map[ident.RequestID]*Record
 	links     map[string]*link
-	heldBytes int
+	heldBytes int // request bodies and complete answers
 }
 
 // New returns a holder whose background tasks end with ctx.
@@ -75,8 +78,8 @@
 	}
 }
 
-// SetPeers sets the manager of the sessions with other hosts. It is created
-// after the holder, because the holder serves streams of those sessions.
+// SetPeers sets the manager of the sessions with other hosts. That manager is
+// created after the holder, because the holder serves streams of the sessions.
 func (h *Holder) SetPeers(p *peer.Manager) { h.src.Peers = p }
 
 // Run sweeps the records periodically until ctx ends.
--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -86,7 +86,7 @@
 		Expect(h.Stats().HeldBytes).To(BeZero())
 	})
 
-	// An answer that broke off is never counted in heldBytes. If its removal
+	// An incomplete answer is never counted in heldBytes. If its removal
 	// subtracted its size, the count would be too low and the host would hold
 	// more than its limit.
 	It("does not subtract what was never counted", func() {
--- a/internal/holder/record.go
+++ b/internal/holder/record.go
@@ -55,7 +55,7 @@
 	Tier          int
 	Plain         bool
 	NonIdempotent bool
-	Keyed         bool
+	Keyed         bool // the id is derived from the caller's idempotency key
 	Path          string
 	ContentType   string
 	Body          []byte
@@ -63,7 +63,7 @@
 	OutputTokens  int
 	Prefix        prefix.Key
 	PrefixTokens  int
-	Whole         prefix.Key
+	Whole         prefix.Key // key of the whole prompt
 	Deadline      time.Time
 	Resend        bool
 	Tried         []ident.Incarnation
@@ -261,10 +261,10 @@
 // releaseClaim deletes a claim row that was requested and will not be used.
 func (r *Record) releaseClaim() {
 	r.mu.Lock()
-	asked := r.claimRequested
+	requested := r.claimRequested
 	r.claimRequested = false
 	r.mu.Unlock()
-	if asked {
+	if requested {
 		owner := claim.Claimant{Incarnation: r.h.self, Token: r.claimToken}
 		r.h.unused.add(r.claimToken)
 		r.h.background(func(ctx context.Context) { r.h.src.Claims.Release(ctx, r.Sub.ID, owner) })
--- a/internal/holder/relay.go
+++ b/internal/holder/relay.go
@@ -35,10 +35,11 @@
 	})
 }
 
-// handleUnproved handles a resend for which no host can prove that the request
-// did not run. It asks the backend servers for the id; a server that knows the
-// id has the answer. If none does, the outcome is unknown, since a dispatch may
-// still be in transit.
+// handleUnproved handles a request for which no host can prove that it did not
+// run. If the home does not know the id, the answer is relayed from the host
+// that the id's ticket names, if that host is alive. Otherwise it asks the
+// backend servers for the id; a server that knows the id has the answer. If none
+// does, the outcome is unknown, since a dispatch may still be in transit.
 func (r *Record) handleUnproved(reason failure.Code) {
 	if reason == failure.UnknownRequest {
 		if m, ok := r.h.src.Members.Get(r.Sub.ID.Ticket()); ok && m.State != member.Dead && m.Incarnation != r.h.self {
