--- a/internal/home/cell.go
+++ b/internal/home/cell.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// send passes the actions of one round to the links. A link whose ring is full
-// belongs to a holder that does not read: it is cancelled, and its holder sends
-// a new report when it reconnects.
+// send passes the actions of one batch of inputs to the links. A link whose ring
+// is full belongs to a holder that does not read: it is cancelled, and its
+// holder sends a new report when it reconnects.
 func (c *cell) send(actions []core.Action) {
 	for _, a := range actions {
 		c.record(a)
--- a/internal/home/manager.go
+++ b/internal/home/manager.go
@@ -1,7 +1,10 @@
 // Package home runs the schedulers of the services whose home is this host. The
 // home of a service is the host that runs its scheduler. The cell of a service
 // is its queue and scheduler: one goroutine for each service owns a core.Cell
-// and feeds it events from a bounded ring.
+// and feeds it events from a bounded ring. Manager owns the cells: it opens and
+// closes them as membership and configuration require, watches the backend
+// servers and serves the streams of the holders, the entry hosts that received
+// the requests.
 package home
 
 import (
@@ -68,11 +71,11 @@
 	}
 }
 
-// SetPeers sets the manager of the sessions with other hosts. It is created
-// after this manager, which serves streams of those sessions.
+// SetPeers sets the manager of the sessions with other hosts. That manager is
+// created after this one, which serves streams of the sessions.
 func (m *Manager) SetPeers(p *peer.Manager) { m.src.Peers = p }
 
-// reconcilePeriod bounds the delay after a missed notification.
+// reconcilePeriod bounds how long a missed notification delays a change.
 const reconcilePeriod = 500 * time.Millisecond
 
 // Run reconciles the cells with membership and configuration until ctx ends.
@@ -278,8 +281,8 @@
 }
 
 // handOver sends the ledger of a cell, its list of requests and their states, to
-// the new home. It also lists the covered holders: ended ones of which the
-// ledger lacks no request.
+// the new home. It also sends the covered holders: those that ended and whose
+// granted requests are all in the ledger.
 func (m *Manager) handOver(service string, h *hostedCell, to member.Member) {
 	if to.Incarnation == 0 {
 		return
@@ -332,7 +335,8 @@
 	_ = wire.Write(st, &wire.HandoverNoted{Taken: h != nil})
 }
 
-// Status is the status of one cell for operators.
+// Status is the status of one cell for operators. Ours is set while this host
+// is the home.
 type Status struct {
 	Service string              `json:"service"`
 	Ours    bool                `json:"ours"`
