--- a/internal/callerapi/auth.go
+++ b/internal/callerapi/auth.go
@@ -1,6 +1,7 @@
 // Package callerapi is the HTTP interface for callers: lookup of entry hosts,
 // requests with streamed or single responses, and re-attachment to answers, as
-// go-kit endpoints. Every call is authenticated as a client account.
+// go-kit endpoints. Every call is authenticated as a client account. API is the
+// main type; the requests and their answers belong to the holder.Holder.
 package callerapi
 
 import (
--- a/internal/callerapi/encode.go
+++ b/internal/callerapi/encode.go
@@ -72,8 +72,8 @@
 	_ = json.NewEncoder(w).Encode(errorBody(e, id)) // the caller may have disconnected
 }
 
-// encodeAnswer sends the answer of a request from its record, until the answer or
-// a failure is complete.
+// encodeAnswer sends the answer of a request from its record, until the answer is
+// complete or has failed.
 func (a *API) encodeAnswer(ctx context.Context, w http.ResponseWriter, response any) error {
 	rep := response.(*reply)
 	unfollow := rep.record.Follow()
@@ -97,7 +97,8 @@
 // stillWaiting is the code of a read that returned no data for keepAliveInterval.
 const stillWaiting failure.Code = "still_waiting"
 
-// read reads from the answer for at most keepAliveInterval.
+// read reads from the answer. It waits for at most keepAliveInterval and then
+// fails with stillWaiting.
 func read(ctx context.Context, a *holder.Answer, offset int) ([]byte, bool, error) {
 	readCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
 	defer cancel()
--- a/internal/callerapi/lookup.go
+++ b/internal/callerapi/lookup.go
@@ -46,9 +46,10 @@
 	return &lookupRequest{doc: doc, service: service, zone: r.URL.Query().Get("availability_zone")}, nil
 }
 
-// lookup returns the few entry hosts for a service: those in the caller's
-// availability zone first, each group in random order so that callers spread
-// over the hosts. It omits all hosts that are not alive, for example leaving ones.
+// lookup returns the entry hosts for a service, at most HostsPerService: those
+// in the caller's availability zone first, each group in random order so that
+// callers spread over the hosts. It omits all hosts that are not alive, for
+// example leaving ones.
 func (a *API) lookup() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		req := request.(*lookupRequest)
