--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -22,28 +22,28 @@
 // sound version fails. It is a lower bound for every test with that rate of false alarms. The
 // optimal test is the likelihood ratio against a sound version. It knows the defect, each
 // server's speed and how many servers have a fault, but not which, and uses all answers that the
-// bounds allow until the deadline. The estimate takes plays simulations of each version. ok is
-// false for sound versions and for versions that are bad only under load, because the load of a
+// bounds allow until the deadline. The estimate simulates each version as often as runs says. ok
+// is false for sound versions and for versions that are bad only under load, because the load of a
 // server depends on the test's own decisions.
-func MinMissRate(r *Rollout, plays int) (missed float64, ok bool) {
+func MinMissRate(r *Rollout, runs int) (missed float64, ok bool) {
 	if !r.Version.bad() || r.Version.OnlyLoaded {
 		return 0, false
 	}
-	sound, bad := make([]float64, plays), make([]float64, plays)
-	for seed := range plays {
+	sound, bad := make([]float64, runs), make([]float64, runs)
+	for seed := range runs {
 		rng := rand.New(rand.NewPCG(uint64(seed), 12))
 		sound[seed] = logLikelihoodRatio(r, rng, false)
 		bad[seed] = logLikelihoodRatio(r, rng, true)
 	}
 	slices.Sort(sound)
-	threshold := sound[len(sound)-1-int(falseRollbackRate*float64(plays))]
-	n := 0
-	for _, e := range bad {
-		if e <= threshold {
-			n++
+	threshold := sound[len(sound)-1-int(falseRollbackRate*float64(runs))]
+	misses := 0
+	for _, logRatio := range bad {
+		if logRatio <= threshold {
+			misses++
 		}
 	}
-	return float64(n) / float64(plays), true
+	return float64(misses) / float64(runs), true
 }
 
 // serverFault is a combination of faults that a server may have whatever its version.
@@ -95,7 +95,7 @@
 
 // answerSample is one simulated answer.
 type answerSample struct {
-	at      time.Duration // time since the order
+	at      time.Duration // time since the roll-out order
 	route   int
 	failed  bool
 	logTime float64 // logarithm of the response time relative to a sound answer
@@ -115,8 +115,8 @@
 	return a
 }
 
-// expected returns the probability that such an answer fails, and the logarithm of the factor by
-// which it is slower.
+// expected returns the probability that an answer at this time on this route fails, and the
+// logarithm of the factor by which it is slower than a sound one.
 func (a answerSample) expected(r *Rollout, s serverFault, isBad bool) (failProbability, logSlowdown float64) {
 	passes := 1 - baseFailRate
 	if a.route == 0 {
--- a/internal/experiment/bound_test.go
+++ b/internal/experiment/bound_test.go
@@ -17,9 +17,9 @@
 }
 
 var _ = Describe("the lower bound of the bad versions that any test of a roll-out misses", func() {
-	const plays = 900
+	const runs = 900
 	misses := func(name string) float64 {
-		m, ok := MinMissRate(rolloutByName(name), plays)
+		m, ok := MinMissRate(rolloutByName(name), runs)
 		Expect(ok).To(BeTrue())
 		return m
 	}
@@ -37,14 +37,14 @@
 	It("is close to 1 if no answer shows the defect", func() {
 		r := *rolloutByName("fails-5-few")
 		r.Version = BadVersion{FailShare: 1e-12}
-		m, ok := MinMissRate(&r, plays)
+		m, ok := MinMissRate(&r, runs)
 		Expect(ok).To(BeTrue())
 		Expect(m).To(BeNumerically(">", 0.98))
 	})
 
 	It("does not exist for sound versions and versions that are bad only under load", func() {
 		for _, name := range []string{"sound-few", "fails-20-loaded-few"} {
-			_, ok := MinMissRate(rolloutByName(name), plays)
+			_, ok := MinMissRate(rolloutByName(name), runs)
 			Expect(ok).To(BeFalse(), name)
 		}
 	})
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -32,7 +32,7 @@
 // Estimate is a mean over seeds with half the width of its 95% confidence interval.
 type Estimate struct{ Mean, HalfWidth float64 }
 
-// Row holds the results of one kind under a policy.
+// Row holds the results of one kind under a policy, as shares of its requests.
 type Row struct {
 	Kind                 string
 	InTime, Served, Late Estimate
--- a/internal/experiment/day.go
+++ b/internal/experiment/day.go
@@ -14,7 +14,7 @@
 
 const (
 	service = "engines"
-	holder  = 1
+	holder  = 1 // ID of the only host that receives requests
 	// tickInterval is how often the scheduler's Tick is called, messageDelay the delay of a message
 	// between caller, holder and server.
 	tickInterval = 10 * time.Millisecond
@@ -217,7 +217,8 @@
 	}
 }
 
-// retryOrRefuse has the caller retry once, after the delay that the scheduler stated.
+// retryOrRefuse has the caller of a refused request retry once, after the scheduler's delay or
+// maxRetryAfterShare of its remaining time, whichever is shorter.
 func (sim *simulation) retryOrRefuse(now time.Duration, r *request, retryAfter time.Duration) {
 	left := r.submittedAt + sim.load.Kinds[r.kind].Deadline - now
 	if r.retried || left <= 0 {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -1,5 +1,6 @@
 // Package experiment simulates loads and roll-outs with the real scheduler and emulated
-// servers in virtual time, and compares scheduling policies over many seeds.
+// servers in virtual time, and compares scheduling policies over many seeds. A Load is
+// simulated by Simulate, a Rollout by SimulateRollout; each simulation owns its scheduler.
 package experiment
 
 import (
@@ -21,9 +22,9 @@
 	OutputSigma   float64
 	MaxOutput     int
 	LatencyTarget time.Duration // from submission to the first event
-	MaxPause      time.Duration // longest pause between events that is on time
+	MaxPause      time.Duration // longest pause between events of an answer on time
 	Deadline      time.Duration
-	CallerTimeout time.Duration // the caller gives up if the request isn't placed by then
+	CallerTimeout time.Duration // the caller gives up if the request isn't placed within this time
 }
 
 // Load describes the requests of a simulation and the engines that serve them.
@@ -70,8 +71,9 @@
 
 // UnlikeEngines is a load of long prompts on engines of which a third is 4.4 times slower,
 // with bursts of up to twice the usual traffic. The figures are those of a hiring agency's
-// model servers (steps of 2.6 ms plus 0.12 ms for each request, scaled by 0.68; 48 prompt
-// tokens a ms; prefill chunks of 2,048 tokens) and of its contract drafts, chats and tags.
+// model servers (steps of 2.6 ms plus 0.12 ms for each request, 48 prompt tokens a ms, these
+// times scaled by 0.68; prefill chunks of 2,048 tokens) and of its contract drafts, chats and
+// tags.
 func UnlikeEngines() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
@@ -93,8 +95,8 @@
 	}
 }
 
-// LongOverload is UnlikeEngines with a long burst of twice the traffic. The tags, in the
-// lowest priority queue, need only a tenth of the engines' time.
+// LongOverload is UnlikeEngines with twice the traffic for 12 seconds. The tags, in the lowest
+// priority queue, need only a tenth of the engines' time.
 func LongOverload() *Load {
 	l := UnlikeEngines()
 	l.Name = "long-overload"
@@ -105,8 +107,8 @@
 // LongAnswers is the load of a large fleet of small engines: 156 with 4 slots, a third of
 // them 2.8 times slower, with a swap platform's appraisals, digests and chats. The chats are
 // the least urgent and generate more than half of all output tokens; a tenth of them is ten
-// times as long as the median. For ten seconds they come 2.4 times as often, in the middle of
-// bursts of all kinds.
+// times as long as the median. For ten seconds they would come 2.4 times as often, in the middle
+// of bursts of all kinds; this isn't simulated, because a Burst applies to all kinds.
 func LongAnswers() *Load {
 	const ms = time.Millisecond
 	fast := engine.Spec{
@@ -130,7 +132,7 @@
 
 // FewPlaces is a load of the same kinds, with fewer appraisals and more digests, on 90
 // engines of 6 slots. The usual rate takes four fifths of their time. Two bursts of several
-// seconds more than double it, so that the two urgent kinds alone take all of their time.
+// seconds multiply it by 4.5 and 5, so that the two urgent kinds alone take all of their time.
 func FewPlaces() *Load {
 	l := LongAnswers()
 	l.Name = "few-places"
--- a/internal/experiment/load_test.go
+++ b/internal/experiment/load_test.go
@@ -44,8 +44,8 @@
 	// on most engines, and chats pause for as long. In a burst the first free slot is often on a
 	// slow engine. A draft is placed there and its prefill interrupts all streams of the engine.
 	//
-	// Bounds: 0.99 of the drafts are on time with both rules and 0.97 with neither; a fifth as
-	// many answers are late because of a pause.
+	// Bounds: 0.99 of the drafts are on time with both rules (await-on-time, spare-pauses) and
+	// 0.97 with neither. With them, a fifth as many answers are late because of a pause.
 	It("are on time more often if requests wait for a suitable engine", func() {
 		with, without := outcomes(UnlikeEngines(), ""), outcomes(UnlikeEngines(), "await-on-time=0,spare-pauses=0")
 		Expect(with[drafts].InTime()).To(BeNumerically(">", 0.985))
@@ -63,7 +63,7 @@
 	})
 })
 
-var _ = Describe("twice the traffic for ten seconds", func() {
+var _ = Describe("twice the traffic for twelve seconds", func() {
 	// Requests of the least urgent kind are refused twice and lost during the whole overload,
 	// although they need only a tenth of the engines' time.
 	//
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -18,16 +18,17 @@
 // BadVersion is how the servers of a version misbehave. The zero value is a sound version.
 type BadVersion struct {
 	FailShare  float64       // share of the answers that fail
-	Slowdown   float64       // factor of the response time; 0 and 1: none
-	BadAfter   time.Duration // time since the order until which it behaves as a sound version
+	Slowdown   float64       // factor by which answers take longer; 0 and 1: no slowdown
+	BadAfter   time.Duration // time after the order at which it turns bad; sound before
 	OnlyLoaded bool          // bad only while most of a server's slots are in use
-	OnlyRoute  string        // bad only on this route; empty: on all
+	OnlyRoute  string        // bad only on this route; empty: on all routes
 }
 
 func (b BadVersion) bad() bool { return b.FailShare > 0 || b.Slowdown > 1 }
 
 // Rollout describes the simulation of a roll-out: a service with old and new servers, its
-// requests, and faults that are independent of the version.
+// requests, and faults that are independent of the version. The order is the operator's order to
+// move the service from the old version to the new one.
 type Rollout struct {
 	Name    string
 	Servers int // of each version
@@ -37,8 +38,8 @@
 	Version BadVersion
 	// FirstRouteFailShare is the share of answers on the first route that fail on all servers.
 	FirstRouteFailShare float64
-	// From FaultsAt after the order, GreyShare of all servers fail 0.4 of their answers, and
-	// SlowShare of them are four times slower.
+	// GreyShare is the share of all servers that fail 0.4 of their answers (a grey failure) from
+	// FaultsAt after the order, SlowShare the share that is four times slower from then on.
 	GreyShare, SlowShare float64
 	FaultsAt             time.Duration
 	// CrashShare is the share of all servers that crash at CrashAt after the order. New
@@ -84,16 +85,16 @@
 }
 
 const (
-	// orderAt is the time of the order, after the service has run for a while.
+	// orderAt is the time of the roll-out order, after the service has run for a while.
 	orderAt = 3 * time.Second
-	// A bad version must get no requests maxReactionTime after its badAnswerLimit-th bad
+	// A bad version must get no more requests maxReactionTime after its badAnswerLimit-th bad
 	// answer.
 	maxReactionTime = 2500 * time.Millisecond
 	badAnswerLimit  = 50
 	storeWriteTime  = 20 * time.Millisecond
 	greyFailShare   = 0.4
 	slowFactor      = 4
-	loadedFrom      = 0.8 // share of the slots in use
+	loadedFrom      = 0.8 // share of slots in use from which OnlyLoaded versions are bad
 	// maxLogSpeed limits the logarithm of a server's speed on both sides of the mean: the
 	// fastest server is 2.8 times as fast as the slowest.
 	maxLogSpeed = 0.52
@@ -105,8 +106,8 @@
 	isNew      bool
 	timeFactor float64 // factor of response times; above 1 is slower
 	running    int
-	grey       bool
-	slow       bool
+	grey       bool // fails greyFailShare of its answers
+	slow       bool // takes slowFactor times as long
 	stopped    bool
 }
 
@@ -120,8 +121,8 @@
 	servers    map[string]*rolloutServer
 	open       map[uint64]*rolloutRequest
 	lastID     uint64
-	started    int
-	badAnswers int
+	started    int           // number of servers started
+	badAnswers int           // of the new version
 	badLimitAt time.Duration // time of the badAnswerLimit-th bad answer; 0 before
 	decided    bool          // the roll-out was completed or rolled back
 	result     RolloutResult
@@ -201,7 +202,8 @@
 	sim.scheduler.SetServers(now, list)
 }
 
-// giveOrder starts the new servers, gives the order, and starts its trial a moment later.
+// giveOrder starts the new servers, gives the order, and starts the trial of
+// the new version a moment later.
 func (sim *rolloutSimulation) giveOrder(now time.Duration) {
 	for range sim.r.Servers {
 		sim.startServer(true)
@@ -248,8 +250,8 @@
 	}
 }
 
-// stopServer stops a server and ends its requests with the given outcome. It stays listed until
-// its registration expires.
+// stopServer stops a server and ends its requests with the given outcome. The server stays listed
+// until its registration expires.
 func (sim *rolloutSimulation) stopServer(now time.Duration, srv *rolloutServer, outcome sched.Result) {
 	srv.stopped = true
 	for id, req := range sim.open {
@@ -274,7 +276,7 @@
 	}
 }
 
-// processSteps handles the decisions of the roll-out.
+// processSteps records the scheduler's decision to complete the roll-out or to roll it back.
 func (sim *rolloutSimulation) processSteps(now time.Duration) {
 	for _, step := range sim.scheduler.TakeRolloutSteps() {
 		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
@@ -333,21 +335,21 @@
 }
 
 func (sim *rolloutSimulation) apply(now time.Duration, out []sched.Decision) {
-	for _, one := range out {
-		req := sim.open[one.ID]
+	for _, decision := range out {
+		req := sim.open[decision.ID]
 		if req == nil {
 			continue
 		}
-		if one.Reason != 0 {
-			delete(sim.open, one.ID)
+		if decision.Reason != 0 { // refused
+			delete(sim.open, decision.ID)
 			continue
 		}
-		req.server = sim.servers[one.Server]
-		sim.execute(now, one.ID, req)
+		req.server = sim.servers[decision.Server]
+		sim.execute(now, decision.ID, req)
 	}
 }
 
-// execute runs a request on its server.
+// execute runs a request on its server and schedules its answer.
 func (sim *rolloutSimulation) execute(now time.Duration, id uint64, req *rolloutRequest) {
 	srv := req.server
 	if now >= orderAt && now < sim.deadline() {
@@ -446,17 +448,17 @@
 	return out
 }
 
-// RolloutSum summarizes many runs of one roll-out.
+// RolloutSummary summarizes many runs of one roll-out.
 type RolloutSummary struct {
 	Runs                           int
 	Completed, RolledBack, Running int
 	MedianExposure, MaxExposure    float64       // median and maximum of RolloutResult.Exposure
 	MedianDuration                 time.Duration // median time from the order to the decision
 	MaxBadAnswers                  int           // maximum number of bad answers before the decision
-	Late, Lost                     int
+	Late, Lost                     int           // sums of RolloutResult.Late and Lost
 }
 
-// SumRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
+// SimulateRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
 func SimulateRollouts(r *Rollout, seeds int) RolloutSummary {
 	results := make([]RolloutResult, seeds)
 	var running sync.WaitGroup
@@ -472,8 +474,8 @@
 	summary := RolloutSummary{Runs: seeds}
 	var exposures []float64
 	var times []time.Duration
-	for _, one := range results {
-		switch one.State {
+	for _, result := range results {
+		switch result.State {
 		case rollout.Completed:
 			summary.Completed++
 		case rollout.RolledBack:
@@ -481,11 +483,11 @@
 		default:
 			summary.Running++
 		}
-		exposures = append(exposures, one.Exposure(r.Bounds))
-		times = append(times, one.Took)
-		summary.MaxBadAnswers = max(summary.MaxBadAnswers, one.Bad)
-		summary.Late += one.Late
-		summary.Lost += one.Lost
+		exposures = append(exposures, result.Exposure(r.Bounds))
+		times = append(times, result.Took)
+		summary.MaxBadAnswers = max(summary.MaxBadAnswers, result.Bad)
+		summary.Late += result.Late
+		summary.Lost += result.Lost
 	}
 	slices.Sort(exposures)
 	slices.Sort(times)
