--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -29,9 +29,9 @@
 const (
 	LeavingGrace   = 3 * time.Second // until a leaving server gets no new requests
 	MaxConfigDelay = 6 * time.Second // until an accepted configuration is in force everywhere
-	// messageDelay is the time that messages between caller, host and home may
-	// take. A request counts as waiting when another one was shed only if it was
-	// sent this much before and started this much after.
+	// messageDelay is the time that messages between caller, entry host and home, the
+	// host that runs the scheduler, may take. A request counts as waiting when another
+	// one was shed only if it was sent this much before and started this much after.
 	messageDelay = 150 * time.Millisecond
 )
 
@@ -196,8 +196,9 @@
 	return false
 }
 
-// checkTiers looks for requests that were shed while a request of a lower tier
-// of the same service was waiting. A request was waiting if it started later.
+// checkTiers looks for requests that were shed while a request of a lower tier of the
+// same service was waiting. A lower tier has a higher number. A request was waiting if
+// it started later.
 func checkTiers(x *indexed) []Violation {
 	var out []Violation
 	for _, id := range x.ids {
@@ -280,8 +281,8 @@
 	return findDecreases(x.byKind[Ordered], FenceForward, " carried out an old order", fence)
 }
 
-// findDecreases returns a violation for each event whose number is lower than that of an
-// earlier event of the same subject.
+// findDecreases returns a violation for each event whose number is lower than the highest
+// earlier one of the same subject.
 func findDecreases(events []Event, p Promise, what string, number func(Event) (subject string, n uint64)) []Violation {
 	var out []Violation
 	newest := map[string]Event{}
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -1,7 +1,7 @@
 // Package history records what callers and backend servers observe during a
 // concurrent run and checks it against the guarantees of the system. The records
 // of the backend servers are the ground truth; the scheduler's own reports are
-// not used.
+// not used. A Log records Events, and Check returns the Violations in them.
 package history
 
 import (
@@ -28,7 +28,7 @@
 	// Made means that a backend server finished a request. Bytes and Sum
 	// describe its answer as the caller must receive it.
 	Made Kind = "made"
-	// Leaves means that Source stated for the first time that Server leaves.
+	// Leaves means that Source stated for the first time that Server is leaving.
 	Leaves Kind = "leaves"
 	// Accepted means that a configuration version was accepted.
 	Accepted Kind = "accepted"
@@ -58,7 +58,7 @@
 	Outcome    failure.Outcome `json:"outcome,omitempty"`
 	Reason     failure.Code    `json:"reason,omitempty"`
 	Bytes      int             `json:"bytes,omitempty"`
-	Sum        string          `json:"sum,omitempty"`
+	Sum        string          `json:"sum,omitempty"` // checksum of the answer
 	Version    uint64          `json:"version,omitempty"`
 	Fence      uint64          `json:"fence,omitempty"`
 	NonIdem    bool            `json:"non_idempotent,omitempty"`
@@ -109,7 +109,7 @@
 
 const maxLineLength = 1 << 20 // bytes
 
-// Read reads a history from lines of JSON.
+// Read reads a history from lines of JSON. It fails with BadRequest on a malformed line.
 func Read(r io.Reader) ([]Event, error) {
 	var out []Event
 	lines := bufio.NewScanner(r)
--- a/internal/history/linear.go
+++ b/internal/history/linear.go
@@ -20,8 +20,8 @@
 }
 
 // RegisterLinearizable reports whether calls to the configuration register are
-// linearizable: a change is accepted only if it is based on the current version,
-// and each accepted change increments the version by one.
+// linearizable: a change is accepted if and only if it is based on the current
+// version, and each accepted change increments the version by one.
 func RegisterLinearizable(ops []RegisterOp) bool {
 	return porcupine.CheckOperations(registerModel(), operations(ops, func(op RegisterOp) (int, int64, int64) {
 		return op.Client, op.Call, op.Return
@@ -74,7 +74,7 @@
 	Key     string
 	Token   string
 	Won     bool
-	Unknown bool
+	Unknown bool // the client does not know whether it won
 }
 
 // ClaimsLinearizable reports whether claims are linearizable: a claim is won if
