--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -8,7 +8,7 @@
 )
 
 // Compare writes a table of two reports of the same load and seed. It fails with
-// BadSetting if load or seed differ, because the results are not comparable then.
+// BadSetting if they differ in load or seed, because they are not comparable then.
 func Compare(w io.Writer, a, b *Result) error {
 	if err := checkComparable(a, b); err != nil {
 		return err
@@ -26,6 +26,7 @@
 	return nil
 }
 
+// share returns the share of requests that ended this way.
 func (t *Tally) share(end End) float64 {
 	if t.total() == 0 {
 		return 0
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -16,9 +16,10 @@
 	legendLineHeight = 0.07 // height of a line of the legend, in units of the y axis
 )
 
-// Plot draws the worth of each kind over time, one line for each kind of each
-// report. The extension of path determines the format: .svg, .png or .pdf. It
-// fails with BadSetting if the reports are not comparable.
+// Plot draws the value of the answers of each kind, as a fraction of the value of all its
+// requests, over their second of arrival. Each kind of each report has a line. The
+// extension of path determines the format: .svg, .png or .pdf. Plot fails with
+// BadSetting if the reports are not comparable.
 func Plot(path string, reports ...*Result) error {
 	p := plot.New()
 	p.Title.Text = "worth by kind over time"
@@ -46,7 +47,7 @@
 	return failure.Wrap(failure.BadSetting, p.Save(plotWidth, plotHeight, path), "write the plot")
 }
 
-// points returns the worth of each second in which requests arrived.
+// points returns the value of the answers for each second in which requests arrived.
 func points(seconds []*Tally) plotter.XYs {
 	var xy plotter.XYs
 	for s, t := range seconds {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -27,7 +27,7 @@
 // LateWorth is the value of a late answer relative to one in time.
 const LateWorth = 0.3
 
-// maxLatencyMS is the longest latency that is recorded; longer ones count as this.
+// maxLatencyMS is the longest latency that is recorded; longer ones are recorded as this one.
 const maxLatencyMS = 60_000
 
 // Tally counts requests by how they ended.
