--- a/internal/replay/corepolicy.go
+++ b/internal/replay/corepolicy.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	holderIncarnation   = ident.Incarnation(1)
+	holderIncarnation   = ident.Incarnation(1) // of the only holder
 	defaultWaitingLimit = 10000
 	ledgerHorizon       = 120 * time.Second
 )
@@ -21,7 +21,7 @@
 	host         Host
 	servers      []Line
 	waitingLimit int           // limit of waiting requests
-	cell         *core.Cell    // nil while there is no home
+	cell         *core.Cell    // scheduler of the home; nil while there is no home
 	epoch        time.Duration // virtual time at which the home started
 	open         map[int]*Line // waiting and running requests, which are reported to the next home
 	granted      map[int]int   // server of each running request
@@ -53,7 +53,7 @@
 
 func (s *coreScheduler) now(now time.Duration) core.Time { return core.Time(now - s.epoch) }
 
-// openHome starts a home: it sends the configuration, the members, the holder's
+// openHome starts a home and passes it the configuration, the members, the holder's
 // report and the waiting requests.
 func (s *coreScheduler) openHome(now time.Duration) {
 	s.epoch = now
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -67,7 +67,7 @@
 	return d
 }
 
-// admit computes how many prompt tokens of a job are not cached, and caches its prompt.
+// admit determines how many prompt tokens of a job are not cached, and caches its prompt.
 func (e *engine) admit(now time.Duration, j *job, r *run) {
 	a := j.arrival
 	j.uncomputed = a.OwnTokens
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -13,7 +13,7 @@
 	InTime  int
 	Late    int
 	Shed    int
-	// Waits holds the times from arrival to the end of the answer, sorted.
+	// Waits holds the times from arrival to the end of the answer, shortest first.
 	Waits []time.Duration
 }
 
@@ -74,7 +74,8 @@
 	return out
 }
 
-func tierOf(m *map[int]*Tally, n int) *Tally {
+// tallyOf returns the tally with a number and adds it if it is missing.
+func tallyOf(m *map[int]*Tally, n int) *Tally {
 	if *m == nil {
 		*m = map[int]*Tally{}
 	}
@@ -87,7 +88,7 @@
 }
 
 func (r *Result) addOutcome(a *Line, o outcome, now time.Duration) {
-	for _, t := range []*Tally{tierOf(&r.Tiers, a.Tier), tierOf(&r.Accounts, a.Account)} {
+	for _, t := range []*Tally{tallyOf(&r.Tiers, a.Tier), tallyOf(&r.Accounts, a.Account)} {
 		t.Offered++
 		switch o {
 		case inTime:
@@ -110,6 +111,7 @@
 	}
 }
 
+// finish completes the result after the last event.
 func (r *Result) finish(x *run) {
 	r.EndedAt = x.endedAt
 	for _, m := range []map[int]*Tally{r.Tiers, r.Accounts} {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -12,13 +12,19 @@
 	defaultNetwork = 1500 * time.Microsecond
 )
 
-// Scheduler decides which server gets a request. now is virtual time.
+// Scheduler decides which server gets a request. now is virtual time; servers and requests have
+// the index of their line among the lines of the same kind.
 type Scheduler interface {
 	Arrive(now time.Duration, index int, a *Line)
-	Finished(now time.Duration, server int, j Finish)
+	Finished(now time.Duration, server int, f Finish)
 	Tick(now time.Duration)
+	// Progress reports the output tokens of a server and the sum of the running time of its
+	// sequences since the last report.
 	Progress(now time.Duration, server, tokens int, seqTime time.Duration)
+	// Load reports the number of queued and running requests of a server as it was age ago.
 	Load(now time.Duration, server, running int, age time.Duration)
+	// Evicted reports the prefixes that a server evicted from its cache, the oldest up to age
+	// ago. gap means that events were lost.
 	Evicted(now time.Duration, server int, keys []int, gap bool, age time.Duration)
 	Fault(now time.Duration, l *Line)
 }
@@ -89,7 +95,7 @@
 	gap  bool // events were lost
 }
 
-// outcome is the final outcome of one request.
+// outcome is how one request ended.
 type outcome uint8
 
 const (
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,8 +1,10 @@
 // Package replay replays a recorded trace against package core in virtual time. A
 // trace contains arrivals, server speeds and faults; the result contains outcomes
-// by tier. The same trace gives exactly the same result on every run. The package
-// also contains the server model of the measurements and the baseline policies.
-// The daemon doesn't use it.
+// by tier. The same trace gives exactly the same result on every run. In a replay one
+// holder, a host that receives requests and owes their callers the answers, sends them
+// to the servers that the home, the host that runs the scheduler, grants it. The package
+// also contains the server model of the measurements and the baseline policies. The
+// daemon doesn't use it.
 package replay
 
 import (
@@ -59,7 +61,7 @@
 	// LineArrival
 	AtMS         float64 `json:"at_ms,omitempty"` // also of LineFault
 	Account      int     `json:"account,omitempty"`
-	Tier         int     `json:"tier,omitempty"` // also of LineExpect
+	Tier         int     `json:"tier,omitempty"` // the lowest number is the most urgent; also of LineExpect
 	Prefix       int     `json:"prefix,omitempty"`
 	PrefixTokens int     `json:"prefix_tokens,omitempty"`
 	OwnTokens    int     `json:"own_tokens,omitempty"`
@@ -128,6 +130,7 @@
 	Works  []Work
 }
 
+// speeds returns the speeds of count1 servers of speed 1, count2 of speed 2 and count4 of speed 4.
 func speeds(count1, count2, count4 int) []float64 {
 	var out []float64
 	for range count1 {
@@ -178,8 +181,9 @@
 }
 
 // Generate generates a trace: Poisson arrivals at rate requests a second for d, lengths
-// from 0.3 to 1.7 times their mean, and prefix n*u*u of n for a uniform random u. Only
-// requests of tiers up to maxTier arrive; maxTier doesn't change the arrivals of a tier.
+// from 0.3 to 1.7 times their mean, and prefix n*u*u of n for a uniform random u, which
+// favours the first ones. Only requests of tiers up to maxTier arrive; maxTier doesn't change the
+// arrivals of a tier.
 func (f Fleet) Generate(rate float64, d time.Duration, seed uint64, maxTier int) Trace {
 	var t Trace
 	for i, s := range f.Speeds {
