--- a/test/badinput_test.go
+++ b/test/badinput_test.go
@@ -36,8 +36,8 @@
 }
 
 var _ = Describe("bad input", Ordered, func() {
-	// A client sends malformed requests continuously. Each must get a clear typed
-	// error, and the requests of other clients must not be affected.
+	// Clients and peers send malformed input. Each request must get a clear typed
+	// error, and requests of other clients must not be affected.
 	var f *fleet
 	BeforeAll(func() {
 		f = newFleet(fleetOptions{hosts: 2, engines: 1, speed: 1})
@@ -80,18 +80,18 @@
 			Expect(e.Error.Outcome).To(Equal(outcome))
 			Expect(e.Error.Message).NotTo(BeEmpty())
 		},
-		Entry("no JSON", "/v1/completions", "{", nil, 400, failure.BadRequest),
+		Entry("invalid JSON", "/v1/completions", "{", nil, 400, failure.BadRequest),
 		Entry("wrong type", "/v1/completions", `{"model":5}`, nil, 400, failure.BadRequest),
 		Entry("unknown service", "/v1/completions", `{"model":"x"}`, nil, 404, failure.UnknownService),
-		Entry("a plain service as a model", "/v1/completions", `{"model":"loop-app"}`, nil, 400, failure.BadRequest),
-		Entry("no account", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{"Authorization": "Bearer wrong"}, 401, failure.Unauthenticated),
+		Entry("a plain service in place of a model service", "/v1/completions", `{"model":"loop-app"}`, nil, 400, failure.BadRequest),
+		Entry("an unknown secret", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{"Authorization": "Bearer wrong"}, 401, failure.Unauthenticated),
 		Entry("oversized", "/v1/completions", `{"model":"tsumugi-llm","prompt":"`+strings.Repeat("x", 30000)+`"}`, nil, 413, failure.TooLarge),
 		Entry("a bad id", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{callerapi.HeaderRequestID: "xyz"}, 400, failure.BadRequest),
 		Entry("a bad kind", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{callerapi.HeaderKind: "poem"}, 400, failure.BadRequest),
 		Entry("a bad deadline", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{callerapi.HeaderDeadline: "-5"}, 400, failure.BadRequest),
 		Entry("bad hosts tried", "/v1/completions", `{"model":"tsumugi-llm"}`, map[string]string{callerapi.HeaderTried: "a,b"}, 400, failure.BadRequest),
 		Entry("too many tokens", "/v1/completions", `{"model":"tsumugi-llm","max_tokens":99999999}`, nil, 400, failure.BadRequest),
-		Entry("no such call", "/v1/poems", `{}`, nil, 400, failure.BadRequest),
+		Entry("an unknown path", "/v1/poems", `{}`, nil, 400, failure.BadRequest),
 	)
 
 	It("that arrives too slowly is refused within the read timeout", func() {
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	modelService = "tsumugi-llm"
-	plainService = "loop-app"
+	modelService = "tsumugi-llm" // streams the output of a model
+	plainService = "loop-app"    // answers plain calls
 	secret       = "test-secret"
 )
 
@@ -64,7 +64,7 @@
 	version  uint64
 	log      *history.Log
 	platform *standin.Platform
-	store    *relay // between the hosts and the platform
+	store    *relay // between the hosts and the platform, which includes the store
 	engines  []*backendServer
 	services []*backendServer
 	hosts    []*host
@@ -233,6 +233,7 @@
 }
 
 // pause stops the process with SIGSTOP, which it cannot observe; resume continues it.
+// The history records a pause as Killed, as either may leave outcomes unknown.
 func (h *host) pause() {
 	h.f.log.Add(history.Event{Kind: history.Killed, Source: h.name})
 	h.signal(syscall.SIGSTOP)
@@ -312,6 +313,7 @@
 	return out
 }
 
+// running returns the hosts whose process has not exited.
 func (f *fleet) running() []*host {
 	var out []*host
 	for _, h := range f.hosts {
--- a/test/leave_test.go
+++ b/test/leave_test.go
@@ -45,8 +45,8 @@
 			time.Sleep(time.Second)
 			f.engines[0].engine.SetDraining(true)
 			f.platform.SetHosts([]platform.Host{{Name: "x", Kind: platform.BackendHost, Address: f.engines[1].relay.address(), State: platform.HostLeaving}})
-			// The load report and the host list are delayed: record the leaving when a
-			// reader of the source can see it.
+			// The load report and the host list show a change late. Hosts cannot know of
+			// it before, so record it only then.
 			time.Sleep(500 * time.Millisecond)
 			f.recordLeaving("load report", f.engines[0].name)
 			f.recordLeaving("host list", f.engines[1].name)
@@ -118,7 +118,7 @@
 	// A burst of several times the capacity arrives, and in one case the home dies
 	// during it. With a separate queue on each host, digests would wait on some hosts
 	// while more urgent chats are refused on others.
-	DescribeTable("sheds lower tiers first across all hosts",
+	DescribeTable("sheds less urgent tiers first across all hosts",
 		func(during func(*fleet)) {
 			f := newFleet(fleetOptions{hosts: 4, engines: 2, speed: 0.5, maxSequences: 4, maxWaiting: 30})
 			f.burst(150, 4*time.Second, func() {
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -14,7 +14,7 @@
 )
 
 // timeToNextStart is the time from a kill to the first start of a model request
-// that was sent after it.
+// that was sent after it, or an hour if there is none.
 func (f *fleet) timeToNextStart(killedAt time.Time) time.Duration {
 	asked := map[string]bool{}
 	for _, e := range f.log.Events() {
@@ -28,8 +28,8 @@
 	return time.Hour
 }
 
-// goodput returns, by tier, the fraction of answered requests among the final
-// outcomes of a time span.
+// goodput returns a text with the fraction of answered requests, by tier, among the
+// final outcomes of a time span.
 func (f *fleet) goodput(from, to time.Time) string {
 	total, answered := map[int]int{}, map[int]int{}
 	for _, e := range f.log.Events() {
@@ -90,8 +90,8 @@
 		Expect(recoveryTime).To(BeNumerically("<", 2*time.Second))
 	})
 
-	// The table is down for a few seconds. Only requests that need a claim in it may
-	// be refused.
+	// The platform's table is down for a few seconds. Only non-idempotent requests may
+	// be refused: a host inserts a claim into the table before it dispatches one.
 	It("answers all requests but those that need a claim while the table is down", func() {
 		f := newFleet(fleetOptions{hosts: 3, engines: 3, speed: 1})
 		var down, up time.Time
--- a/test/resend_test.go
+++ b/test/resend_test.go
@@ -158,7 +158,7 @@
 		f.resendRace(60, 3*time.Second, 60, func(i int) *host { return f.hosts[i%4] }, func(i int) *host { return f.hosts[(i+1)%4] })
 		f.checkHistory()
 		Expect(f.countOutcome("answered")).To(BeNumerically(">", 60), "most attempts get the answer")
-		Expect(f.countOutcome("unknown")).To(BeNumerically("<=", 60), "only revoked attempts do not")
+		Expect(f.countOutcome("unknown")).To(BeNumerically("<=", 60), "only attempts that the home revoked for a resend do not")
 	})
 
 	// A network partition splits the hosts into two halves for some seconds, and
--- a/test/silence_test.go
+++ b/test/silence_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("connections that stop delivering data without closing", func() {
-	// A device between host and backend server drops the state of a connection in
+	// A middlebox between host and backend server drops the state of a connection in
 	// the middle of an answer. Neither side sees a close, so a read never returns
 	// and the caller's stream stalls. The stream must continue over a new
 	// connection, without a second start.
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -32,7 +32,8 @@
 
 var _ = Describe("non-idempotent requests", func() {
 	// Two clients confirm the same pickup at once through two hosts while the
-	// platform's table fails. A claim can take effect although its answer is lost,
+	// platform's table fails. A host inserts a claim for the key into the table before
+	// it dispatches the pickup. A claim can take effect although its answer is lost,
 	// so its owner does not know that it succeeded. The pickup must not run twice.
 	DescribeTable("run at most once for a key",
 		func(faults standin.PlatformFaults) {
