--- a/test/platform/fail_test.go
+++ b/test/platform/fail_test.go
@@ -77,7 +77,7 @@
 	// not answer, and the next host in the ranking must take over.
 	It("have another home before the membership declares the first one dead", func() {
 		s := newSite(siteOptions{hosts: 5, engines: 2, apps: 2, largeFirst: true})
-		time.Sleep(3 * time.Second) // a host that has just started waits for the home
+		time.Sleep(3 * time.Second) // a host that has just started does not give up on a home yet
 		others := s.hosts[1:]
 		s.hosts[0].session.Signal(syscall.SIGSTOP)
 		frozen := time.Now()
@@ -95,6 +95,7 @@
 				}
 			}()
 		}
+		// The share of all servers that the new home logs is 1.
 		hasNewHome := func() bool {
 			return slices.ContainsFunc(others, func(h *host) bool {
 				return strings.Contains(string(h.session.Out.Contents()), "servers=1.00")
@@ -135,7 +136,7 @@
 	It("serve from their last known state while the store is unreachable", func() {
 		s := newSite(siteOptions{hosts: 2, engines: 1, apps: 1})
 		s.store.SetDown(true)
-		time.Sleep(3 * time.Second) // longer than one call that waits for changes
+		time.Sleep(3 * time.Second) // longer than one long poll for changes
 		for _, h := range s.hosts {
 			Expect(s.send(h, confirm()).Status).To(Equal(http.StatusOK))
 			Expect(s.send(h, appraise()).Status).To(Equal(http.StatusOK))
--- a/test/platform/fatal_test.go
+++ b/test/platform/fatal_test.go
@@ -20,16 +20,17 @@
 )
 
 const (
+	// fatalBody is the body of the fatal request, which crashes the servers that run it.
 	fatalBody = "fatal"
 	// restartDelay is the time from the crash of a server to its restart, entryTTL the time
 	// for which the store still lists the crashed one.
 	restartDelay = 1500 * time.Millisecond
 	entryTTL     = 3 * time.Second
-	// detectionTime and fatalRetries limit the runs of a request that crashes servers: up to
-	// three crashes may be needed to detect it, and later than detectionTime after the third
-	// run it may reach at most three more servers.
+	// detectionTime and maxFatalRuns limit the runs of the fatal request: up to three crashes
+	// may be needed to detect it, and later than detectionTime after the third run it may
+	// reach at most three more servers.
 	detectionTime = 3 * time.Second
-	fatalRetries  = 3
+	maxFatalRuns  = 3
 )
 
 // serverRestarter restarts servers that a request crashed. mu guards its fields.
@@ -135,7 +136,7 @@
 
 // lateRuns counts the runs that start later than detectionTime after the third one.
 func lateRuns(runs []time.Time) int {
-	if len(runs) <= fatalRetries {
+	if len(runs) <= maxFatalRuns {
 		return 0
 	}
 	bound := runs[2].Add(detectionTime)
@@ -239,7 +240,7 @@
 		})
 		runs := s.runsOfBody(fatalBody)
 		Expect(restarter.crashCount()).To(BeNumerically(">=", 3), "the request crashes engines")
-		Expect(lateRuns(runs)).To(BeNumerically("<=", fatalRetries), "%d runs", len(runs))
+		Expect(lateRuns(runs)).To(BeNumerically("<=", maxFatalRuns), "%d runs", len(runs))
 		for _, r := range replies {
 			Expect(r.Status).To(Equal(http.StatusServiceUnavailable))
 			Expect(r.RetryAfter).To(BeNumerically(">", detectionTime))
@@ -324,7 +325,7 @@
 	// all of them restarted at once, so the next home must write the row.
 	It("is written to the store by the next home when the first could not", func() {
 		s, _ := newFatalSite(siteOptions{hosts: 3, engines: 5, apps: 1, largeFirst: true})
-		time.Sleep(3 * time.Second) // a host that has just started waits for its home
+		time.Sleep(3 * time.Second) // a host that has just started does not give up on a home yet
 		s.store.SetDown(true)
 		s.sendUntilRefused()
 		s.waitForQuarantineEverywhere()
@@ -405,7 +406,7 @@
 			Eventually(done).WithTimeout(10 * time.Second).Should(Receive())
 			after := len(s.runsOfBody(fatalBody))
 			fmt.Printf("fatal soak: seed %d: %d runs under faults, %d after\n", seed, before, after-before)
-			Expect(after-before).To(BeNumerically("<=", fatalRetries), "seed %d", seed)
+			Expect(after-before).To(BeNumerically("<=", maxFatalRuns), "seed %d", seed)
 			s.stop()
 		}
 	})
--- a/test/platform/leave_test.go
+++ b/test/platform/leave_test.go
@@ -40,8 +40,8 @@
 
 var _ = Describe("servers that leave while the store turns the home and other readers away", func() {
 	// The home and the other hosts that read the store for all cannot reach it, the remaining
-	// hosts can. If these wait for the readers' reports, they send requests to servers seconds
-	// after these have left.
+	// hosts can. If the remaining hosts wait for the readers' reports, they send requests to
+	// servers seconds after the servers have left.
 	DescribeTable("get no requests after the drain time",
 		func(how mode) {
 			const hosts, engines = 8, 1 // more hosts than read the store for others
@@ -114,9 +114,9 @@
 })
 
 var _ = Describe("servers that leave while the home and the next readers stand still", func() {
-	// The home and the hosts next in line to read the store are paused. If the other hosts wait
-	// for their reports and dial one after the other in vain, they send requests to servers
-	// after the drain time.
+	// The home and the hosts next in line to read the store are paused. If the running hosts
+	// wait for reports of the paused ones and dial one after the other in vain, they send
+	// requests to servers after the drain time.
 	It("are dropped in time by the hosts that still run", func() {
 		const hosts, paused, engines = 6, 3, 1
 		s := newSite(siteOptions{hosts: hosts, engines: engines, apps: 4, large: paused})
--- a/test/platform/notice_test.go
+++ b/test/platform/notice_test.go
@@ -113,7 +113,11 @@
 	return maxCount
 }
 
-func allowed(limit float64) int { return int(limit*limitWindow.Seconds()*limitFactor) + limitSlack }
+// allowedInWindow returns how many requests may reach a server in a limitWindow under a limit
+// of requests per second.
+func allowedInWindow(limit float64) int {
+	return int(limit*limitWindow.Seconds()*limitFactor) + limitSlack
+}
 
 // arrivedSince counts the requests that reached a server after a point in time.
 func arrivedSince(srv *standin.Server, since time.Time) (n int) {
@@ -126,9 +130,9 @@
 }
 
 var _ = Describe("servers that state a limit of requests per second", func() {
-	// An overloaded server must not get more requests than the limit that it states. It does if
-	// hosts ignore the notice, if each host applies the limit to itself alone, or if the limit
-	// is lost with the home.
+	// An overloaded server must not get more requests than the limit that it states. It would
+	// if hosts ignored the notice, if each host applied the limit to itself alone, or if the
+	// limit were lost with the home.
 	DescribeTable("get no more than that from all hosts together, and callers are served by others",
 		func(fault func(*site)) {
 			const hosts, engines, limit = 5, 1, 1
@@ -153,11 +157,11 @@
 			}
 			calls := c.end()
 			for _, srv := range limited {
-				hosts := noticeTimes(calls, srv, standin.LimitField)
-				Expect(hosts).NotTo(BeEmpty())
-				maxCount := maxInWindow(srv.Arrivals(), calls, hosts, noticeSent.Add(limitGrace), until.Add(-limitWindow))
-				Expect(maxCount).To(BeNumerically("<=", allowed(limit)), srv.Spec.ID)
-				Expect(maxCount).To(BeNumerically(">", 0), "%s may take more", srv.Spec.ID)
+				noticeAt := noticeTimes(calls, srv, standin.LimitField)
+				Expect(noticeAt).NotTo(BeEmpty())
+				maxCount := maxInWindow(srv.Arrivals(), calls, noticeAt, noticeSent.Add(limitGrace), until.Add(-limitWindow))
+				Expect(maxCount).To(BeNumerically("<=", allowedInWindow(limit)), srv.Spec.ID)
+				Expect(maxCount).To(BeNumerically(">", 0), "%s gets no requests although its limit allows them", srv.Spec.ID)
 			}
 			answered := 0
 			for _, call := range calls {
@@ -195,9 +199,9 @@
 }
 
 var _ = Describe("servers that announce in their answers that they leave, while the store is unreachable", func() {
-	// A server must not get requests after it has announced in an answer that it leaves. It does
-	// if hosts wait for the change in the store, or if the host that forwarded the answer needs
-	// the home to act on it.
+	// A server must not get requests after it has announced in an answer that it leaves. It
+	// would if hosts waited for the change in the store, or if the host that forwarded the
+	// answer needed the home to act on it.
 	DescribeTable("get no more requests from hosts that saw the notice, and callers are served by others",
 		func(fault func(*site)) {
 			const engines = 1
@@ -216,9 +220,9 @@
 			s.hosts[0].session.Signal(syscall.SIGCONT)
 			calls := c.end()
 			for _, srv := range leaving {
-				hosts := noticeTimes(calls, srv, standin.LeavingField)
-				Expect(hosts).NotTo(BeEmpty())
-				Expect(sentAfter(drainTime, srv.Arrivals(), calls, hosts)).To(BeZero(), srv.Spec.ID)
+				noticeAt := noticeTimes(calls, srv, standin.LeavingField)
+				Expect(noticeAt).NotTo(BeEmpty())
+				Expect(sentAfter(drainTime, srv.Arrivals(), calls, noticeAt)).To(BeZero(), srv.Spec.ID)
 			}
 			s.checkPromises()
 		},
@@ -257,8 +261,8 @@
 }
 
 var _ = Describe("servers that reject requests and ask for a backoff", func() {
-	// A server must not get request after request during a backoff that it asked for. It does if
-	// hosts ignore the notice, or do not apply it to their next requests.
+	// A server must not get request after request during a backoff that it asked for. It would
+	// if hosts ignored the notice, or did not apply it to their next requests.
 	DescribeTable("get almost no requests from the rejected hosts during it, and callers are served by others",
 		func(fault func(*site)) {
 			const backoff = 3 * time.Second
@@ -310,6 +314,6 @@
 		Expect(maxInWindow(arrivals, calls, noticeAt, at(8*time.Second), at(20*time.Second))).To(Equal(2))
 		noticeAt[b] = at(0)
 		Expect(maxInWindow(arrivals, calls, noticeAt, at(0), at(20*time.Second))).To(Equal(8))
-		Expect(allowed(1.1)).To(Equal(11))
+		Expect(allowedInWindow(1.1)).To(Equal(11))
 	})
 })
--- a/test/platform/promises_test.go
+++ b/test/platform/promises_test.go
@@ -22,7 +22,8 @@
 	planned bool
 }
 
-// brokenPromises returns the promises that an exchange violates.
+// brokenPromises returns the promises that an exchange violates. An attempt is one send of a
+// call by its caller; a call that is sent again is another attempt.
 func brokenPromises(e exchange) (promises []string) {
 	report := func(violated bool, promise string) {
 		if violated {
@@ -59,7 +60,7 @@
 	for i := first; i < len(s.replies); i++ {
 		e := exchange{call: s.sent[i], reply: s.replies[i], runs: s.runsOf(s.replies[i].Attempt)}
 		e.planned = planned != nil && planned(i)
-		Expect(brokenPromises(e)).To(BeEmpty(), fmt.Sprintf("%s %s: status %d whole %v err %v, %d runs",
+		Expect(brokenPromises(e)).To(BeEmpty(), fmt.Sprintf("%s %s: status %d complete %v err %v, %d runs",
 			e.call.Path, e.reply.Attempt, e.reply.Status, e.reply.Complete, e.reply.Err, len(e.runs)))
 	}
 	return len(s.replies)
@@ -87,9 +88,9 @@
 
 	// Each exchange differs from a valid one in one respect.
 	DescribeTable("report the promise that is broken",
-		func(promise string, c standin.Call, event func(e *exchange)) {
+		func(promise string, c standin.Call, change func(e *exchange)) {
 			e := validExchange(c)
-			event(&e)
+			change(&e)
 			Expect(brokenPromises(e)).To(Equal([]string{promise}))
 		},
 		Entry("a second run", "runs at most once", confirm(), func(e *exchange) { e.runs = append(e.runs, e.runs[0]) }),
--- a/test/platform/rollout_test.go
+++ b/test/platform/rollout_test.go
@@ -25,7 +25,8 @@
 	newServers []*standin.Server
 }
 
-// order starts servers of a version beside the old ones and orders a rollout of it.
+// order starts servers of a version in addition to the old ones and writes the order to roll
+// it out into the store.
 func (s *rolloutSite) order(version string, servers int, fault standin.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,8 @@
 		s.order("v2", 3, standin.Fault{FailEvery: 2})
 		Eventually(s.state).WithTimeout(rolloutDuration + 3*time.Second).WithPolling(10 * time.Millisecond).Should(Equal("rolled_back v2"))
 		exposed, reached := runsOn(s.newServers), sent()-before
-		Expect(float64(exposed)).To(BeNumerically("<=", 0.05*float64(reached)+25), "half of the runs that the version may get, of %d calls", reached)
+		// The settings of the hosts allow a version that is rolled back 0.1 of the calls plus 50.
+		Expect(float64(exposed)).To(BeNumerically("<=", 0.05*float64(reached)+25), "half of the allowed runs, of %d calls", reached)
 		time.Sleep(500 * time.Millisecond) // until calls in progress have ended
 		after := runsOn(s.newServers)
 		time.Sleep(time.Second)
@@ -181,9 +183,9 @@
 		Eventually(s.state).WithTimeout(3 * time.Second).Should(Equal("running v2"))
 		s.store.SetDown(true)
 		time.Sleep(rolloutDuration)
-		runsAfterVerdict := runsOn(s.newServers)
+		runsAfterDecision := runsOn(s.newServers)
 		time.Sleep(time.Second)
-		Expect(runsOn(s.newServers)).To(Equal(runsAfterVerdict))
+		Expect(runsOn(s.newServers)).To(Equal(runsAfterDecision))
 		s.store.SetDown(false)
 		Eventually(s.state).WithTimeout(8 * time.Second).Should(Equal("rolled_back v2"))
 		close(stop)
--- a/test/platform/serve_test.go
+++ b/test/platform/serve_test.go
@@ -53,9 +53,10 @@
 		large := confirm()
 		large.Body = strings.Repeat("x", 2<<20)
 		Expect(s.send(h, large).Status).To(Equal(http.StatusRequestEntityTooLarge))
-		own := confirm()
-		own.Header = map[string]string{"Gentianflow-Tenant": "other", "Gentianflow-Hold": "h", "Kv-From": "x"}
-		r := s.send(h, own)
+		// A caller cannot set the header fields that hosts set for servers.
+		spoofed := confirm()
+		spoofed.Header = map[string]string{"Gentianflow-Tenant": "other", "Gentianflow-Hold": "h", "Kv-From": "x"}
+		r := s.send(h, spoofed)
 		Expect(r.Status).To(Equal(http.StatusOK))
 		Expect(s.runsOf(r.Attempt)[0].Account).To(Equal(standin.DefaultAccount))
 	})
--- a/test/platform/site_test.go
+++ b/test/platform/site_test.go
@@ -1,5 +1,10 @@
 // Package platform runs gentianhost as real processes against the stand-in of the platform,
-// on loopback, and checks what callers and servers observe.
+// on loopback, and checks what callers and servers observe. A site is one system under test.
+// brokenPromises checks the promises, the guarantees for each call.
+//
+// The home is the host that runs the scheduler for all hosts. It and the next hosts in the
+// ranking, the readers, read the store for the others. An incarnation is one process of a
+// server; a server that restarts with the same ID is a new incarnation.
 package platform
 
 import (
@@ -29,6 +34,7 @@
 	"github.com/gentianflow/gentianflow/platform/standin"
 )
 
+// program is the path of the built gentianhost.
 var program string
 
 func TestPlatform(t *testing.T) {
@@ -69,6 +75,7 @@
 	return err == nil && ok && strings.HasPrefix(state, "T")
 }
 
+// at returns the host's address with the given port.
 func (h *host) at(port int) string { return net.JoinHostPort(h.ip, fmt.Sprint(port)) }
 
 // site is a system of hosts with the stand-in of the platform.
@@ -81,7 +88,7 @@
 	caller       *standin.Caller
 	subnet       string
 	dir          string
-	proxies      []*proxy // the one of the store first
+	proxies      []*proxy // with proxied the one of the store first, with ownStores one for each host
 	storeAddress string   // address of the store that hosts are given
 
 	mu       sync.Mutex // guards sent and replies, and changes of hosts and servers
@@ -156,7 +163,8 @@
 // hasHome reports whether a host has logged that it is the home.
 func (s *site) hasHome() bool { return slices.ContainsFunc(s.hosts, isHome) }
 
-// isHome reports whether a host has logged that it is the home.
+// isHome reports whether a host has logged that it is the home: that its share of all quotas
+// and rate limits is 1.
 func isHome(h *host) bool { return strings.Contains(string(h.session.Out.Contents()), "limits=1.00") }
 
 func (s *site) zone(i int) string {
@@ -256,14 +264,20 @@
 	return slices.Clone(s.hosts)
 }
 
+// confirm returns a plain call that runs at most once.
 func confirm() standin.Call {
 	return standin.Call{Path: standin.ConfirmPath + "a?b=1", Body: "payload"}
 }
+
+// check returns a plain call that may be retried.
 func check() standin.Call { return standin.Call{Path: standin.CheckPath + "a"} }
+
+// appraise returns a call for a stream that can be resumed.
 func appraise() standin.Call {
 	return standin.Call{Path: standin.StreamPath + "a", Prompt: 1000, Output: 60, Body: strings.Repeat("x", 4000)}
 }
 
+// digest returns a call for a stream that cannot be resumed.
 func digest() standin.Call {
 	return standin.Call{Path: standin.BulkPath + "a", Prompt: 1000, Output: 60, Body: "y"}
 }
