--- a/caller/stream.go
+++ b/caller/stream.go
@@ -104,7 +104,7 @@
 
 // complete checks length, checksum and request id of the answer against the end event.
 func (k *call) complete(data string) (*Answer, *Failure, error) {
-	var mark callerapi.EndMark
+	var mark callerapi.StreamEnd
 	if json.Unmarshal([]byte(data), &mark) != nil || mark.Length != len(k.data) || mark.ID != k.idText() ||
 		mark.Checksum != strconv.FormatUint(xxhash.Sum64(k.data), 16) {
 		return nil, nil, errInterrupted
--- a/cmd/gentianlab/policies.go
+++ b/cmd/gentianlab/policies.go
@@ -42,7 +42,7 @@
 				return err
 			}
 			for _, r := range experiment.SimulateRows(load, policy, c.Int("seeds")) {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatFigure(r.InTime), formatFigure(r.Served), formatFigure(r.Late), formatFigure(r.LargestTenthServed))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatEstimate(r.InTime), formatEstimate(r.Served), formatEstimate(r.Late), formatEstimate(r.LargestTenthServed))
 			}
 		}
 	}
@@ -70,6 +70,6 @@
 	return settings
 }
 
-func formatFigure(f experiment.Estimate) string {
+func formatEstimate(f experiment.Estimate) string {
 	return fmt.Sprintf("%.3f ±%.3f", f.Mean, f.HalfWidth)
 }
--- a/internal/callerapi/encode.go
+++ b/internal/callerapi/encode.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// EndMark is the data of EventEnd.
-type EndMark struct {
+// StreamEnd is the data of EventEnd.
+type StreamEnd struct {
 	Length   int    `json:"length"`
 	Checksum string `json:"xxh64"`
 	ID       string `json:"request_id"`
@@ -165,7 +165,7 @@
 func endStream(w http.ResponseWriter, answer *holder.Answer, err error, id string) {
 	name := EventEnd
 	length, sum := answer.LengthAndChecksum()
-	var body any = EndMark{Length: length, Checksum: strconv.FormatUint(sum, 16), ID: id}
+	var body any = StreamEnd{Length: length, Checksum: strconv.FormatUint(sum, 16), ID: id}
 	if err != nil {
 		name, body = EventError, errorBody(failure.From(err), id)
 	}
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -80,7 +80,7 @@
 	case Finished:
 		c.finished(e)
 	case Heartbeat:
-		c.heard(e)
+		c.heartbeat(e)
 	case Tick:
 		c.tick()
 	case Progress:
@@ -111,11 +111,11 @@
 	case Report:
 		c.report(e)
 	case HolderLeft:
-		c.left(e)
+		c.holderLeft(e)
 	case HolderLost:
-		c.gone(e)
+		c.holderLost(e)
 	case LedgerHandover:
-		c.inherit(e)
+		c.ledgerHandover(e)
 	case Locate:
 		c.locate(e)
 	case ServerSignal:
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -124,7 +124,7 @@
 	c.orphans = kept
 }
 
-func (c *Cell) heard(e Heartbeat) {
+func (c *Cell) heartbeat(e Heartbeat) {
 	s := c.sessions[e.Holder]
 	if s == nil || s.ended || e.Stamp < s.stamp {
 		return
@@ -149,9 +149,9 @@
 	}
 }
 
-// left ends the session of a holder that moves to another home. The other home
-// grants to it from now on, so this ledger no longer covers it.
-func (c *Cell) left(e HolderLeft) {
+// holderLeft ends the session of a holder that moves to another home. The other
+// home grants to it from now on, so this ledger no longer covers it.
+func (c *Cell) holderLeft(e HolderLeft) {
 	if s := c.sessions[e.Holder]; s != nil {
 		c.endSession(s, false)
 		// Even an end proved soon afterwards does not cover it, because another
@@ -160,14 +160,14 @@
 	}
 }
 
-// gone ends the session of a holder that died or is unreachable.
+// holderLost ends the session of a holder that died or is unreachable.
 //
 // A holder that only lost its connection may be granted the same id by another
 // home, but uses no such grant until MoveHold after its last stamp. An end that
 // is proved within MoveHold of the last stamp therefore means that the ledger
 // has everything ever granted to the holder. After any other end the holder is
 // not covered, and a resend of its requests is answered with Unproved.
-func (c *Cell) gone(e HolderLost) {
+func (c *Cell) holderLost(e HolderLost) {
 	s := c.sessions[e.Holder]
 	if s == nil {
 		s = &session{holder: e.Holder, heardAt: c.now}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (c *Cell) inherit(e LedgerHandover) {
+func (c *Cell) ledgerHandover(e LedgerHandover) {
 	for _, in := range e.Entries {
 		c.ledger.adopt(c.now, in)
 	}
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -171,7 +171,7 @@
 func (c *Client) send(id uint64, p *pending) {
 	now := time.Now()
 	p.sentAt, p.acked, p.via = now, false, c.link
-	if p.via != nil && p.via.ask(encodeAsk(now, id, p.request)) {
+	if p.via != nil && p.via.request(encodeRequest(now, id, p.request)) {
 		return
 	}
 	c.sendLocal(id, p)
@@ -180,9 +180,9 @@
 // sendLocal submits a placement request to the local loop. The caller holds mu.
 func (c *Client) sendLocal(id uint64, p *pending) {
 	p.sentAt, p.acked, p.via = time.Now(), true, nil
-	m := encodeAsk(p.sentAt, id, p.request)
+	m := encodeRequest(p.sentAt, id, p.request)
 	c.pushLocal(func(at sched.Time, s *sched.Scheduler) []sched.Decision {
-		out, _ := s.Submit(at, decodeAsk(at, uint64(c.self), c.zone, m))
+		out, _ := s.Submit(at, decodeRequest(at, uint64(c.self), c.zone, m))
 		return out
 	})
 }
--- a/internal/dispatch/client_test.go
+++ b/internal/dispatch/client_test.go
@@ -42,7 +42,7 @@
 	return c, loop
 }
 
-func ask() *PlacementRequest {
+func request() *PlacementRequest {
 	now := time.Now()
 	return &PlacementRequest{Service: "svc", Arrived: now, LatencyTarget: now.Add(time.Second), Deadline: now.Add(2 * time.Second)}
 }
@@ -59,12 +59,12 @@
 var _ = Describe("requesting a placement", func() {
 	It("succeeds while a server has room, and waits until a run has finished otherwise", func() {
 		c, _ := startHost(neverLeaving, "a")
-		first, err := c.Acquire(context.Background(), ask())
+		first, err := c.Acquire(context.Background(), request())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.Server).To(Equal("a"))
 		second := make(chan error, 1)
 		go func() {
-			_, err := c.Acquire(context.Background(), ask())
+			_, err := c.Acquire(context.Background(), request())
 			second <- err
 		}()
 		Consistently(second, "50ms").ShouldNot(Receive())
@@ -74,7 +74,7 @@
 
 	It("is refused with a reason if no server has room in time", func() {
 		c, _ := startHost(neverLeaving)
-		_, err := c.Acquire(context.Background(), ask())
+		_, err := c.Acquire(context.Background(), request())
 		var refused *Refused
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.Reason).To(Equal(sched.NoServer))
@@ -83,11 +83,11 @@
 
 	It("is withdrawn when the caller leaves", func() {
 		c, loop := startHost(neverLeaving, "a")
-		_, err := c.Acquire(context.Background(), ask())
+		_, err := c.Acquire(context.Background(), request())
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err = c.Acquire(ctx, ask())
+		_, err = c.Acquire(ctx, request())
 		Expect(err).To(HaveOccurred())
 		waiting := -1
 		loop.Query(context.Background(), func(s *sched.Scheduler) { waiting = s.Waiting() })
@@ -101,7 +101,7 @@
 		var leaving atomic.Bool
 		leaving.Store(true)
 		c, _ := startHost(func(id string) bool { return id == "a" && leaving.Load() }, "a", "b")
-		placement, err := c.Acquire(context.Background(), ask())
+		placement, err := c.Acquire(context.Background(), request())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(placement.Server).To(Equal("b"))
 	})
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -8,9 +8,9 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// encodeAsk encodes a placement request. Clocks of hosts differ, so points in time are sent
-// as durations relative to the time of sending.
-func encodeAsk(now time.Time, id uint64, a *PlacementRequest) *wire.Ask {
+// encodeRequest encodes a placement request. Clocks of hosts differ, so points in time are
+// sent as durations relative to the time of sending.
+func encodeRequest(now time.Time, id uint64, a *PlacementRequest) *wire.Ask {
 	m := &wire.Ask{
 		Id: id, Service: a.Service, Account: a.Account, Priority: uint32(a.Priority),
 		PromptTokens: uint32(a.PromptTokens), OutputTokens: uint32(a.OutputTokens), Units: uint32(a.Units),
@@ -33,7 +33,7 @@
 
 func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func decodeAsk(now sched.Time, holder uint64, zone string, m *wire.Ask) sched.Request {
+func decodeRequest(now sched.Time, holder uint64, zone string, m *wire.Ask) sched.Request {
 	r := sched.Request{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Zone: zone, Service: m.Service, Account: m.Account,
 		Priority: int(m.Priority), PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens),
--- a/internal/dispatch/follower_test.go
+++ b/internal/dispatch/follower_test.go
@@ -43,7 +43,7 @@
 	lead := func(f *Follower) { f.lead(false) }
 
 	It("is everything for a home that has run for a while", func() {
-		Expect(shareSetBy(time.Minute, 3, 2, 0, lead)).To(Equal(sched.Share{Servers: 1, Limits: 1, Sends: 1}))
+		Expect(shareSetBy(time.Minute, 3, 2, 0, lead)).To(Equal(sched.Share{Servers: 1, Quotas: 1, RateLimits: 1}))
 	})
 
 	// After all hosts were killed at once, each restarts knowing only itself. If it acted as
@@ -51,18 +51,18 @@
 	// second.
 	It("is a fraction for a host that has just started", func() {
 		got := shareSetBy(100*time.Millisecond, 6, 0, 0, lead)
-		Expect(got.Limits).To(BeNumerically("<", 1.0/6))
+		Expect(got.Quotas).To(BeNumerically("<", 1.0/6))
 		Expect(got.Servers).To(BeNumerically("<", 0.5))
 	})
 	It("is a fraction even if the store has not reported other hosts yet", func() {
-		Expect(shareSetBy(100*time.Millisecond, 0, 0, 0, lead).Limits).To(BeNumerically("<", 0.5))
+		Expect(shareSetBy(100*time.Millisecond, 0, 0, 0, lead).Quotas).To(BeNumerically("<", 0.5))
 	})
 
 	// 68 hosts start at once. If each assumed a fleet of six in the quarter of a second until
 	// the store has reported the other hosts, they would use eight times the quotas together.
 	It("is a minimal share of the limits while the number of hosts is unknown", func() {
 		got := shareSetBy(100*time.Millisecond, 0, 0, 0, lead)
-		Expect(got.Limits).To(BeNumerically("<", 1.0/390))
+		Expect(got.Quotas).To(BeNumerically("<", 1.0/390))
 	})
 
 	// A network partition separates two of six hosts. Each side has a home, and both homes
@@ -70,10 +70,10 @@
 	It("is a fraction of the limits for the home of the smaller side of a partition", func() {
 		got := shareSetBy(time.Minute, 6, 1, 4, lead)
 		Expect(got.Servers).To(Equal(1.0))
-		Expect(got.Limits).To(BeNumerically("~", 2.0/6, 0.01))
+		Expect(got.Quotas).To(BeNumerically("~", 2.0/6, 0.01))
 	})
 	It("is everything for the home of the larger side", func() {
-		Expect(shareSetBy(time.Minute, 6, 3, 2, lead).Limits).To(Equal(1.0))
+		Expect(shareSetBy(time.Minute, 6, 3, 2, lead).Quotas).To(Equal(1.0))
 	})
 
 	// The home freezes shortly after a fleet has started. A host that found the home before it
@@ -89,8 +89,8 @@
 			f.started = time.Now().Add(-time.Minute)
 			f.refreshStandaloneShare()
 		})
-		Expect(early.Limits).To(BeNumerically("<", 1.0/390))
-		Expect(late.Limits).To(BeNumerically("~", standaloneQuotaShare/6, 0.01))
+		Expect(early.Quotas).To(BeNumerically("<", 1.0/390))
+		Expect(late.Quotas).To(BeNumerically("~", standaloneQuotaShare/6, 0.01))
 	})
 	It("does not change with every host that joins or leaves", func() {
 		sets := 0
@@ -108,7 +108,7 @@
 
 	It("is less than an even share of the limits for a standalone host", func() {
 		got := shareSetBy(time.Minute, 6, 5, 0, func(f *Follower) { f.goStandalone() })
-		Expect(got.Limits).To(BeNumerically("<", 1.0/6))
+		Expect(got.Quotas).To(BeNumerically("<", 1.0/6))
 	})
 
 	// The home loses its power during a burst. If each host scheduled locally until the
@@ -127,17 +127,17 @@
 			Expect(follow(2, true).Servers).To(Equal(standaloneServerShare / hosts))
 		})
 		It("is the fraction of the hosts that follow, once most do", func() {
-			Expect(follow(7, true)).To(Equal(sched.Share{Servers: 1, Limits: 0.8, Sends: 0.8}))
+			Expect(follow(7, true)).To(Equal(sched.Share{Servers: 1, Quotas: 0.8, RateLimits: 0.8}))
 		})
 		It("is everything for a home that has just started to lead, before others follow", func() {
 			got := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) {
 				f.followers = func() int { return 0 }
 				f.lead(false)
 			})
-			Expect(got).To(Equal(sched.Share{Servers: 1, Limits: 1, Sends: 1.0 / hosts}))
+			Expect(got).To(Equal(sched.Share{Servers: 1, Quotas: 1, RateLimits: 1.0 / hosts}))
 		})
 		It("is the fraction of the remaining hosts for a home that most hosts have left", func() {
-			Expect(follow(2, false)).To(Equal(sched.Share{Servers: 0.3, Limits: 0.3, Sends: 0.3}))
+			Expect(follow(2, false)).To(Equal(sched.Share{Servers: 0.3, Quotas: 0.3, RateLimits: 0.3}))
 		})
 	})
 })
@@ -156,9 +156,9 @@
 				f.followers = func() int { return following - 1 }
 				f.leadsSince = time.Now().Add(-time.Minute)
 				f.lead(takesOver)
-			}).Limits
+			}).Quotas
 		}
-		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Limits
+		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Quotas
 		sum := limits(old, false) + limits(next, true) + float64(hosts-old-next)*standalone
 		if old*2 >= hosts {
 			// Most hosts still follow the old home; the others' placements are charged
@@ -184,9 +184,9 @@
 			return shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) {
 				f.followers = func() int { return following - 1 }
 				f.lead(takesOver)
-			}).Sends
+			}).RateLimits
 		}
-		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).Sends
+		standalone := shareSetBy(time.Minute, hosts, hosts-1, 0, func(f *Follower) { f.goStandalone() }).RateLimits
 		sum := sends(old, false) + sends(next, true) + float64(hosts-old-next)*standalone
 		if sum > 1.4 {
 			t.Fatalf("%d hosts, %d with the old home, %d with the next: %.2f of a limit", hosts, old, next, sum)
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -205,7 +205,7 @@
 			out = append(out, s.Withdraw(now, sched.Key{Holder: l.holder, ID: id})...)
 		}
 		for _, a := range m.Asks {
-			decisions, waits := s.Submit(now, decodeAsk(now, l.holder, l.zone, a))
+			decisions, waits := s.Submit(now, decodeRequest(now, l.holder, l.zone, a))
 			out = append(out, decisions...)
 			if waits {
 				reply.Queued = append(reply.Queued, a.Id)
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -55,10 +55,10 @@
 	Expect(wire.Write(e.conn, m)).To(Succeed())
 }
 
-func (e *holderEnd) ask(id uint64) {
+func (e *holderEnd) request(id uint64) {
 	now := time.Now()
-	a := ask()
-	e.send(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(now, id, a)}})
+	a := request()
+	e.send(&wire.ToHome{Asks: []*wire.Ask{encodeRequest(now, id, a)}})
 }
 
 // awaitPlacement reads until the home sends the placement for a request.
@@ -88,14 +88,14 @@
 	It("has a request that it sent over both links counted once", func() {
 		h, loop := startHome()
 		first := openLink(h)
-		first.ask(1)
+		first.request(1)
 		Eventually(func() int { n, _ := countRequests(loop); return n }).Should(Equal(1))
 		second := openLink(h) // the placement sent over the first link was lost with it
-		second.ask(1)
+		second.request(1)
 		second.awaitPlacement(1)
 		Expect(countRequests(loop)).To(Equal(1))
 		second.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: 1, Result: uint32(sched.OK)}}})
-		second.ask(2)
+		second.request(2)
 		second.awaitPlacement(2)
 	})
 
@@ -104,16 +104,16 @@
 	It("has messages on the old link ignored", func() {
 		h, loop := startHome()
 		first := openLink(h)
-		first.ask(1)
+		first.request(1)
 		Eventually(func() int { n, _ := countRequests(loop); return n }).Should(Equal(1))
 		var old *holderLink
 		h.mu.Lock()
 		old = h.links[self]
 		h.mu.Unlock()
 		second := openLink(h)
-		second.ask(1)
+		second.request(1)
 		second.awaitPlacement(1)
-		h.handle(context.Background(), old, &wire.ToHome{Withdrawn: []uint64{1}, Asks: []*wire.Ask{encodeAsk(time.Now(), 1, ask())}})
+		h.handle(context.Background(), old, &wire.ToHome{Withdrawn: []uint64{1}, Asks: []*wire.Ask{encodeRequest(time.Now(), 1, request())}})
 		Consistently(func() []int { r, w := countRequests(loop); return []int{r, w} }).WithTimeout(50 * time.Millisecond).Should(Equal([]int{1, 0}))
 	})
 })
@@ -162,7 +162,7 @@
 
 // addWaiting makes a placement request wait in the home's queue.
 func (p *pausedHome) addWaiting() uint64 {
-	a := ask()
+	a := request()
 	a.Deadline = a.Arrived.Add(time.Minute)
 	go func() { _, _ = p.client.Acquire(context.Background(), a) }() // ends with the test process
 	Eventually(func() bool { return p.client.waitsAt(p.link) }).Should(BeTrue())
@@ -203,9 +203,9 @@
 	})
 })
 
-// meteredAsk is a placement request that costs its account units.
-func meteredAsk() *PlacementRequest {
-	a := ask()
+// meteredRequest is a placement request that costs its account units.
+func meteredRequest() *PlacementRequest {
+	a := request()
 	a.Account, a.Units = "acc", 300
 	return a
 }
@@ -216,7 +216,7 @@
 	loop.Do(func(now sched.Time, s *sched.Scheduler) {
 		s.SetAccounts(now, []sched.Account{{Name: "acc", Rate: 1000, Burst: 1000}})
 	})
-	placement, err := c.Acquire(context.Background(), meteredAsk())
+	placement, err := c.Acquire(context.Background(), meteredRequest())
 	Expect(err).NotTo(HaveOccurred())
 	return c, placement
 }
@@ -252,7 +252,7 @@
 		})
 		e := openLink(h)
 		e.send(&wire.ToHome{Charges: []*wire.Charge{{Account: "acc", Units: 700}}})
-		e.send(&wire.ToHome{Asks: []*wire.Ask{encodeAsk(time.Now(), 1, meteredAsk())}})
+		e.send(&wire.ToHome{Asks: []*wire.Ask{encodeRequest(time.Now(), 1, meteredRequest())}})
 		m := &wire.ToHolder{}
 		Expect(e.conn.SetReadDeadline(time.Now().Add(time.Second))).To(Succeed())
 		Expect(wire.Read(e.r, m)).To(Succeed())
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/link.go
@@ -30,7 +30,7 @@
 
 func (l *homeLink) push(m *wire.ToHome) bool { return l.out.TryPush(m) }
 
-func (l *homeLink) ask(m *wire.Ask) bool { return l.push(&wire.ToHome{Asks: []*wire.Ask{m}}) }
+func (l *homeLink) request(m *wire.Ask) bool { return l.push(&wire.ToHome{Asks: []*wire.Ask{m}}) }
 
 func (l *homeLink) sendRunning(m *wire.Running) bool {
 	return l.push(&wire.ToHome{Running: []*wire.Running{m}})
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -59,7 +59,7 @@
 // learnNotices applies notices reported by another host. It runs on the loop's goroutine.
 func (l *Loop) learnNotices(now sched.Time, s *sched.Scheduler, holder uint64, records []notice.Record) {
 	for _, c := range s.LearnNotices(now, holder, records) {
-		if limit, changed := c.Limit(); changed {
+		if limit, changed := c.LimitChange(); changed {
 			l.events.Record(event.ServerLimit, event.Fields{Server: c.Server, Detail: limit + " reported by another host"})
 		}
 		if c.StartsLeaving() {
--- a/internal/dispatch/notices_test.go
+++ b/internal/dispatch/notices_test.go
@@ -49,7 +49,7 @@
 	It("reaches a home before any placement request, and again when it has changed", func() {
 		c, _ := startHost(neverLeaving, "a")
 		c.RecordNotice("b", limitNotice(1))
-		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
+		go func() { _, _ = c.Acquire(context.Background(), request()) }()
 		Eventually(func() int { _, running := c.Pending(); return running }).Should(Equal(1))
 		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
@@ -67,7 +67,7 @@
 		c, _ := startHost(neverLeaving, "a")
 		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
-		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
+		go func() { _, _ = c.Acquire(context.Background(), request()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
 		c.RecordNotice("a", notice.Notice{Leaving: true})
 		l.out.Drain(nil)
@@ -83,7 +83,7 @@
 		c, _ := startHost(neverLeaving, "a")
 		l := &homeLink{out: ring.New[*wire.ToHome](linkQueueSize)}
 		c.follow(l)
-		go func() { _, _ = c.Acquire(context.Background(), ask()) }()
+		go func() { _, _ = c.Acquire(context.Background(), request()) }()
 		Eventually(func() int { waiting, _ := c.Pending(); return waiting }).Should(Equal(1))
 		l.out.Drain(nil)
 		c.RecordNotice("a", notice.Notice{Backoff: time.Second})
@@ -102,7 +102,7 @@
 		Eventually(func() int { return countLimits(loop) }).Should(Equal(1))
 		begun := time.Now()
 		for id := range uint64(3) {
-			holder.ask(id)
+			holder.request(id)
 			holder.awaitPlacement(id)
 			holder.send(&wire.ToHome{Outcomes: []*wire.Outcome{{Id: id, Result: uint32(sched.OK)}}})
 		}
--- a/internal/dispatch/ranking.go
+++ b/internal/dispatch/ranking.go
@@ -45,9 +45,9 @@
 // place.
 const nextHomeCount = 2
 
-// NextHomes lists the incarnations of the hosts ranked first: the home and those that take
-// over if it is lost.
-func NextHomes(members *member.Table) []uint64 {
+// HomeAndSuccessors lists the incarnations of the hosts ranked first: the home and those
+// that take over if it is lost.
+func HomeAndSuccessors(members *member.Table) []uint64 {
 	var out []uint64
 	for _, m := range members.First(homeRankingKey, 1+nextHomeCount) {
 		out = append(out, uint64(m.Incarnation))
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -34,7 +34,7 @@
 	text := fmt.Sprintf("to=%s phase=%s why=%q reached=%.0f tried=%.0f answers=%d bad=%d", r.Order.To, r.Phase, r.Why, r.Reached, r.Tried, r.Answers, r.Bad)
 	for _, route := range slices.Sorted(maps.Keys(r.Routes)) {
 		count := r.Routes[route]
-		text += fmt.Sprintf(" %s=%d/%d/%.3f", route, count.Bad, count.Answers, count.Usual)
+		text += fmt.Sprintf(" %s=%d/%d/%.3f", route, count.Bad, count.Answers, count.BaselineFailureShare)
 	}
 	return text
 }
@@ -67,7 +67,7 @@
 func encodeRollouts(list []rollout.Status) []*wire.Rollout {
 	out := make([]*wire.Rollout, 0, len(list))
 	for _, r := range list {
-		out = append(out, &wire.Rollout{Service: r.Order.Service, To: r.Order.To, Row: r.Order.Row, Phase: string(r.Phase)})
+		out = append(out, &wire.Rollout{Service: r.Order.Service, To: r.Order.To, Row: r.Order.RowVersion, Phase: string(r.Phase)})
 	}
 	return out
 }
@@ -81,7 +81,7 @@
 	defer c.mu.Unlock()
 	c.pushLocal(func(_ sched.Time, s *sched.Scheduler) []sched.Decision {
 		for _, r := range list {
-			s.SetOrderPhase(rollout.Order{Service: r.Service, To: r.To, Row: r.Row}, rollout.Phase(r.Phase))
+			s.SetOrderPhase(rollout.Order{Service: r.Service, To: r.To, RowVersion: r.Row}, rollout.Phase(r.Phase))
 		}
 		return nil
 	})
--- a/internal/dispatch/share.go
+++ b/internal/dispatch/share.go
@@ -55,13 +55,13 @@
 		f.goStandalone()
 		return
 	}
-	share := sched.Share{Servers: 1, Limits: 1}
+	share := sched.Share{Servers: 1, Quotas: 1}
 	if all := live + silent; 2*live < all {
-		share.Limits = float64(live) / float64(all)
+		share.Quotas = float64(live) / float64(all)
 	}
 	followFraction := float64(f.followers()+1) / float64(live)
 	// Hosts that do not follow use their own shares, or another home uses theirs.
-	share.Sends = share.Limits * roundUpFraction(followFraction)
+	share.RateLimits = share.Quotas * roundUpFraction(followFraction)
 	if takesOver && followFraction < majority {
 		f.goStandalone()
 		return
@@ -73,8 +73,8 @@
 	if takesOver || lostMajority {
 		share = scaleShare(share, followFraction)
 	}
-	f.partialQuotas = share.Limits < 1
-	f.client.setFullQuotas(share.Limits == 1)
+	f.partialQuotas = share.Quotas < 1
+	f.client.setFullQuotas(share.Quotas == 1)
 	f.setLeading(true)
 	f.setShare(share)
 }
@@ -94,7 +94,7 @@
 // hosts that failed together with the previous home count as live for some seconds.
 func scaleShare(share sched.Share, followFraction float64) sched.Share {
 	followFraction = roundUpFraction(followFraction)
-	share.Limits *= followFraction
+	share.Quotas *= followFraction
 	if followFraction < majority {
 		share.Servers *= followFraction
 	}
@@ -132,11 +132,11 @@
 	f.standaloneHosts = n
 	if n == 1 && uptime < discoveryTimeout || f.listedHosts() == 0 && uptime < settleTime {
 		f.standaloneHosts = 0
-		f.setShare(sched.Share{Servers: standaloneServerShare / unknownFleetHosts, Limits: unknownFleetLimitShare, Sends: unknownFleetLimitShare})
+		f.setShare(sched.Share{Servers: standaloneServerShare / unknownFleetHosts, Quotas: unknownFleetLimitShare, RateLimits: unknownFleetLimitShare})
 		return
 	}
 	even := 1 / float64(n)
-	f.setShare(sched.Share{Servers: min(1, standaloneServerShare*even), Limits: standaloneQuotaShare * even, Sends: standaloneRateShare * even})
+	f.setShare(sched.Share{Servers: min(1, standaloneServerShare*even), Quotas: standaloneQuotaShare * even, RateLimits: standaloneRateShare * even})
 }
 
 // hostCountChangeFactor is the factor by which the number of hosts must change for the
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/suspects_test.go
@@ -12,7 +12,7 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-var fatalFingerprint = quarantine.NewFingerprint("POST", "h", "/", "account", []byte("fatal"))
+var poisonFingerprint = quarantine.NewFingerprint("POST", "h", "/", "account", []byte("fatal"))
 
 // suspectsOf returns the records that a loop knows.
 func suspectsOf(l *Loop) (known []quarantine.Record) {
@@ -22,7 +22,7 @@
 
 // suspectWithEnds returns a record of servers that ended under the request.
 func suspectWithEnds(servers ...string) *wire.Suspect {
-	m := &wire.Suspect{Fingerprint: fatalFingerprint.Bytes(), Service: "svc"}
+	m := &wire.Suspect{Fingerprint: poisonFingerprint.Bytes(), Service: "svc"}
 	for i, server := range servers {
 		m.Ends = append(m.Ends, &wire.ServerEnd{Server: server, AgoMs: uint32(10_000 - 2_000*i)})
 	}
@@ -76,7 +76,7 @@
 	// A host loses a run together with its server, and its home at the same time.
 	It("is kept by the host whose run was lost", func() {
 		c, loop := startHost(neverLeaving, "a")
-		p := &pending{request: &PlacementRequest{Service: "svc", Fingerprint: fatalFingerprint}, server: "a", placedAt: time.Now(), via: nil}
+		p := &pending{request: &PlacementRequest{Service: "svc", Fingerprint: poisonFingerprint}, server: "a", placedAt: time.Now(), via: nil}
 		c.mu.Lock()
 		c.learnLoss(p, false)
 		c.mu.Unlock()
@@ -85,7 +85,7 @@
 
 	It("is encoded completely", func() {
 		r := quarantine.Record{
-			Fingerprint: fatalFingerprint, Account: "a", Service: "s", Quarantined: true, Age: time.Second, RetryIn: time.Minute, By: "front-1",
+			Fingerprint: poisonFingerprint, Account: "a", Service: "s", Quarantined: true, Age: time.Second, RetryIn: time.Minute, By: "front-1",
 			Cleared: true, ClearedAge: time.Hour, Ends: []quarantine.ServerEnd{{Server: "e1", Age: 2 * time.Second, EventSeen: true, Distinct: true}},
 		}
 		Expect(decodeSuspects(encodeSuspects([]quarantine.Record{r}))).To(Equal([]quarantine.Record{r}))
--- a/internal/entry/callerconn.go
+++ b/internal/entry/callerconn.go
@@ -9,9 +9,9 @@
 // callerConnKey is the context key under which a request finds its caller's connection.
 type callerConnKey struct{}
 
-// WithConn stores a caller's connection in the context of its requests. It is the
+// WithCallerConn stores a caller's connection in the context of its requests. It is the
 // ConnContext of the http.Server for callers.
-func WithConn(ctx context.Context, c net.Conn) context.Context {
+func WithCallerConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
--- a/internal/entry/callerconn_test.go
+++ b/internal/entry/callerconn_test.go
@@ -25,7 +25,7 @@
 
 	It("reports a closed connection, also while it is being read", func() {
 		caller, here := pair()
-		ctx := WithConn(context.Background(), here)
+		ctx := WithCallerConn(context.Background(), here)
 		go func() {
 			var b [1]byte
 			_, _ = here.Read(b[:]) // as net/http does while a request is served
@@ -38,7 +38,7 @@
 		caller, here := pair()
 		_, err := caller.Write([]byte("GET"))
 		Expect(err).NotTo(HaveOccurred())
-		Consistently(func() bool { return callerDisconnected(WithConn(context.Background(), here)) }).WithTimeout(100 * time.Millisecond).Should(BeFalse())
+		Consistently(func() bool { return callerDisconnected(WithCallerConn(context.Background(), here)) }).WithTimeout(100 * time.Millisecond).Should(BeFalse())
 	})
 	It("reports no disconnect for a context without a connection", func() {
 		Expect(callerDisconnected(context.Background())).To(BeFalse())
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -31,18 +31,18 @@
 // ServerHead is the information that the header of a request to a backend server has
 // in addition to what the caller sent.
 type ServerHead struct {
-	Deadline  time.Duration // time left
-	Instance  string        // the server incarnation that is to run the request
-	Account   string        // empty on a public route
-	HideKey   bool          // do not forward the account's key
-	LastEvent string        // resume after this event; empty: as the caller sent it
+	Deadline    time.Duration // time left
+	Incarnation string        // the server incarnation that is to run the request
+	Account     string        // empty on a public route
+	HideKey     bool          // do not forward the account's key
+	LastEvent   string        // resume after this event; empty: as the caller sent it
 }
 
 // AnswerHead is the information in the header of a backend server's answer.
 type AnswerHead struct {
 	ID     string // of the answered request, empty if not given
 	NotRun bool   // the server states that it did not run the request
-	Sealed bool   // has the server's own signature
+	Signed bool   // has the server's own signature
 	Notice notice.Notice
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -60,7 +60,7 @@
 
 // Dependencies are the dependencies of a Handler.
 type Dependencies struct {
-	Routes  *routing.Current
+	Routes  *routing.CurrentTable
 	Placer  Placer
 	Pool    *upstream.Pool
 	Dialect Dialect
@@ -79,11 +79,11 @@
 // NewHandler returns a handler for callers.
 func NewHandler(deps Dependencies) *Handler { return &Handler{Dependencies: deps} }
 
-// Leave makes answers close their connections, so that callers look up another host.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// CloseConnections makes answers close their connections, so that callers look up another host.
+func (h *Handler) CloseConnections() { h.leaving.Store(true) }
 
-// Refuse makes the handler refuse new requests.
-func (h *Handler) Refuse() { h.closed.Store(true) }
+// RefuseRequests makes the handler refuse new requests.
+func (h *Handler) RefuseRequests() { h.closed.Store(true) }
 
 // Active returns the number of requests without a final answer.
 func (h *Handler) Active() int { return int(h.active.Load()) }
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -14,7 +14,7 @@
 		return
 	}
 	f := event.Fields{Request: x.head.ID, Service: x.service, Server: server}
-	if limit, changed := change.Limit(); changed {
+	if limit, changed := change.LimitChange(); changed {
 		f.Detail = limit
 		x.h.Events.Record(event.ServerLimit, f)
 	}
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -179,7 +179,7 @@
 
 // request builds the request to the server.
 func (x *exchange) request(placement dispatch.Placement, now time.Time) *upstream.Request {
-	s := ServerHead{Deadline: x.deadline.Sub(now), Instance: placement.Server, LastEvent: x.stream.lastID}
+	s := ServerHead{Deadline: x.deadline.Sub(now), Incarnation: placement.Server, LastEvent: x.stream.lastID}
 	if x.account != nil {
 		s.Account, s.HideKey = x.account.Name, true
 	}
@@ -209,7 +209,7 @@
 	if head.NotRun {
 		return t.handleNotRun(resp, head.Notice.Backoff)
 	}
-	if resp.StatusCode < 300 && !head.Sealed {
+	if resp.StatusCode < 300 && !head.Signed {
 		return t.handleLost(ctx, errUnsigned)
 	}
 	if x.route.Kind == routing.Streaming && resp.StatusCode == http.StatusOK {
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -207,7 +207,7 @@
 		sim.startServer(true)
 	}
 	sim.updateServerList(now)
-	o := rollout.Order{Service: service, To: "v2", Timeout: sim.r.Length, Row: 1}
+	o := rollout.Order{Service: service, To: "v2", Timeout: sim.r.Length, RowVersion: 1}
 	sim.schedule(now+200*time.Millisecond, func(time.Duration) { sim.scheduler.SetOrder(o) })
 	sim.schedule(now+250*time.Millisecond, func(now time.Duration) { sim.scheduler.StartTrial(now, o, 250*time.Millisecond, false) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 	members     *member.Table
 	gossip      *member.Gossip
 	peers       *peer.Manager
-	routes      routing.Current
+	routes      routing.CurrentTable
 	servers     *servers
 	loop        *dispatch.Loop
 	home        *dispatch.Home
@@ -183,7 +183,7 @@
 		}
 		s.SetBounds(n.settings.RolloutBounds)
 	})
-	n.home = dispatch.NewHome(n.loop, func() []uint64 { return dispatch.NextHomes(n.members) })
+	n.home = dispatch.NewHome(n.loop, func() []uint64 { return dispatch.HomeAndSuccessors(n.members) })
 	n.servers = newServers(n.platform.DecodeServer, n.events, n.applyServers)
 	n.client = dispatch.NewClient(n.incarnation, n.settings.AvailabilityZone, n.loop, n.servers, n.events)
 	n.follower = dispatch.NewFollower(n.client, n.members, n.peers, n.home, n.events, n.knownFleetSize, n.setShare)
@@ -251,7 +251,7 @@
 		return
 	}
 	n.share = share
-	n.events.Record(event.ShareChanged, event.Fields{Detail: fmt.Sprintf("servers=%.2f limits=%.2f sends=%.2f", share.Servers, share.Limits, share.Sends)})
+	n.events.Record(event.ShareChanged, event.Fields{Detail: fmt.Sprintf("servers=%.2f limits=%.2f sends=%.2f", share.Servers, share.Quotas, share.RateLimits)})
 	n.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.SetShare(now, share) })
 }
 
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -19,16 +19,16 @@
 	// maxRolloutRetry is the longest delay after failed calls, so that an outage of the store
 	// of a few seconds costs few calls.
 	maxRolloutRetry = 2 * time.Second
-	// minWishInterval is the shortest time between two reads of operators' commands (to
-	// pause, resume or take back a rollout). wishIntervalShare is that time as a fraction of the
+	// minCommandInterval is the shortest time between two reads of operators' commands (to
+	// pause, resume or take back a rollout). commandIntervalShare is that time as a fraction of the
 	// rollout's duration, so that each rollout takes a handful of calls.
-	minWishInterval   = 3 * time.Second
-	wishIntervalShare = 0.15
+	minCommandInterval   = 3 * time.Second
+	commandIntervalShare = 0.15
 )
 
 // rollouts carries out the operators' rollout orders while this host is the home: it claims
 // them in the store, has the scheduler run the trials, and writes the outcomes. handled,
-// wishesRead, retry and notBefore belong to the goroutine of run; mu guards the fields below
+// commandsRead, retry and notBefore belong to the goroutine of run; mu guards the fields below
 // it.
 type rollouts struct {
 	host     string // name and incarnation of this host
@@ -38,8 +38,8 @@
 	events   *event.Recorder
 	wake     chan struct{}
 
-	handled    map[string]int64 // by service, the row version of the order that this host handles
-	wishesRead time.Time
+	handled      map[string]int64 // by service, the row version of the order that this host handles
+	commandsRead time.Time
 	// retry is the delay after a failed call; it doubles with each further failure. No call is
 	// made before notBefore.
 	retry     time.Duration
@@ -118,7 +118,7 @@
 		}
 		r.claimOrders(ctx)
 		r.writeOutcomes(ctx)
-		r.readWishes(ctx)
+		r.readCommands(ctx)
 	}
 }
 
@@ -151,7 +151,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, o := range r.orders {
-		if o.Check() == "" && r.handled[service] != o.Row {
+		if o.Check() == "" && r.handled[service] != o.RowVersion {
 			out = append(out, o)
 		}
 	}
@@ -189,11 +189,11 @@
 // outcome late. This host writes the row again, so that the version condition of such a write
 // fails.
 func (r *rollouts) claimOrder(ctx context.Context, o rollout.Order, current store.Row, storeNow time.Duration) {
-	row, resumed := rollout.Row{Order: o.Row, To: o.To, Phase: rollout.Trying, BegunMs: storeNow.Milliseconds()}, false
+	row, resumed := rollout.Row{Order: o.RowVersion, To: o.To, Phase: rollout.Trying, BegunMs: storeNow.Milliseconds()}, false
 	if current.Version != 0 {
-		if previous, err := rollout.DecodeRow(current.Value); err == nil && previous.Order == o.Row {
+		if previous, err := rollout.DecodeRow(current.Value); err == nil && previous.Order == o.RowVersion {
 			if previous.Over() {
-				r.handled[o.Service] = o.Row
+				r.handled[o.Service] = o.RowVersion
 				r.settleOrder(o, previous.Phase)
 				return
 			}
@@ -204,7 +204,7 @@
 	if err := r.write(ctx, o, row, current.Version); err != nil {
 		return // read again at the next poll: the write may have been applied
 	}
-	r.handled[o.Service] = o.Row
+	r.handled[o.Service] = o.RowVersion
 	elapsed := storeNow - row.Begun()
 	r.events.Record(event.RolloutOrdered, event.Fields{Service: o.Service, Detail: "to " + o.To + " within " + (o.Timeout - elapsed).String()})
 	r.loop.Do(func(now sched.Time, s *sched.Scheduler) { s.StartTrial(now, o, elapsed, resumed) })
@@ -260,7 +260,7 @@
 // outcome is written, or another host handles the order now.
 func (r *rollouts) writeOutcome(ctx context.Context, status rollout.Status, current store.Row) bool {
 	row, err := rollout.DecodeRow(current.Value)
-	if err != nil || row.Order != status.Order.Row || row.By != r.host || row.Over() {
+	if err != nil || row.Order != status.Order.RowVersion || row.By != r.host || row.Over() {
 		return true
 	}
 	row.Phase, row.Why = status.Phase, status.Why
@@ -270,18 +270,18 @@
 func (r *rollouts) forgetOutcome(status rollout.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if current, ok := r.outcomes[status.Order.Service]; ok && current.Order.Row == status.Order.Row {
+	if current, ok := r.outcomes[status.Order.Service]; ok && current.Order.RowVersion == status.Order.RowVersion {
 		delete(r.outcomes, status.Order.Service)
 	}
 }
 
-// readWishes passes operators' commands to the scheduler while trials run.
-func (r *rollouts) readWishes(ctx context.Context) {
+// readCommands passes operators' commands to the scheduler while trials run.
+func (r *rollouts) readCommands(ctx context.Context) {
 	shortestTrial := r.shortestTrial()
-	if shortestTrial == 0 || time.Since(r.wishesRead) < max(minWishInterval, time.Duration(wishIntervalShare*float64(shortestTrial))) {
+	if shortestTrial == 0 || time.Since(r.commandsRead) < max(minCommandInterval, time.Duration(commandIntervalShare*float64(shortestTrial))) {
 		return
 	}
-	r.wishesRead = time.Now()
+	r.commandsRead = time.Now()
 	rows, _, err := r.platform.Conditional.Rows(ctx, r.platform.RolloutTable)
 	if !r.callSucceeded(err) {
 		return
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -25,7 +25,7 @@
 func (n *Node) startHTTP() error {
 	n.callerServer = &http.Server{
 		Handler: n.entry, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnContext: entry.WithConn,
+		ConnContext: entry.WithCallerConn,
 	}
 	plainServer := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
@@ -198,7 +198,7 @@
 	n.events.Record(event.ProcessDraining, event.Fields{})
 	n.leaving.Store(true)
 	n.members.SetLeaving()
-	n.entry.Leave()
+	n.entry.CloseConnections()
 	time.Sleep(shutdownDelay)
 	ctx, cancel := context.WithDeadline(context.Background(), start.Add(n.settings.Grace-exitMargin))
 	defer cancel()
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -51,8 +51,8 @@
 	Before, After Notice
 }
 
-// Limit reports whether the limit has changed, and describes the change for logs.
-func (c Change) Limit() (text string, changed bool) {
+// LimitChange reports whether the limit has changed, and describes the change for logs.
+func (c Change) LimitChange() (text string, changed bool) {
 	return "limit=" + c.After.Limit.String() + " was=" + c.Before.Limit.String(), c.After.Limit != c.Before.Limit
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -15,10 +15,10 @@
 
 // Order is an operator's order to move a service to a version.
 type Order struct {
-	Service string
-	To      string        // version to move to
-	Timeout time.Duration // time from the order to its deadline
-	Row     int64         // version of the order's row in the store; a newer one replaces the order
+	Service    string
+	To         string        // version to move to
+	Timeout    time.Duration // time from the order to its deadline
+	RowVersion int64         // version of the order's row in the store; a newer one replaces the order
 }
 
 // Check describes what is wrong with an order; empty if it is valid.
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -98,11 +98,11 @@
 // Phase returns the phase of the trial.
 func (t *Trial) Phase() Phase { return t.machine.State() }
 
-// Skip moves the service at once, since it runs the ordered version already.
-func (t *Trial) Skip() { t.fire(evMove, "the service runs it already") }
+// StartMoving moves the service at once, since it runs the ordered version already.
+func (t *Trial) StartMoving() { t.fire(evMove, "the service runs it already") }
 
-// Replace ends the trial because of a newer order.
-func (t *Trial) Replace() { t.fire(evReplaced, "replaced by a newer order") }
+// Supersede ends the trial because of a newer order.
+func (t *Trial) Supersede() { t.fire(evReplaced, "replaced by a newer order") }
 
 // WithinBounds reports whether the bounds allow one more request for the new version, regardless of
 // turns.
@@ -169,9 +169,9 @@
 	Slots  int
 }
 
-// Turn returns which of the servers with free slots gets the next request, empty for none.
+// NextServer returns which of the servers with free slots gets the next request, empty for none.
 // Servers take turns, each with a burst that fills its slots.
-func (t *Trial) Turn(now Time, free []Candidate) string {
+func (t *Trial) NextServer(now Time, free []Candidate) string {
 	if t.Phase() != Trying || t.credit() < 1 {
 		return ""
 	}
@@ -221,8 +221,8 @@
 	return minTries < 0 || t.tries[route] <= minTries+minTries/2+maxRouteLead
 }
 
-// Tried counts a request of a route that was sent to the server whose turn it is.
-func (t *Trial) Tried(route string) {
+// CountTry counts a request of a route that was sent to the server whose turn it is.
+func (t *Trial) CountTry(route string) {
 	t.tries[route]++
 	t.turn.remaining--
 }
@@ -303,7 +303,7 @@
 		Answers: t.samples.n, Bad: t.samples.bad, Routes: map[string]RouteStatus{},
 	}
 	for route, b := range t.samples.baselines {
-		r.Routes[route] = RouteStatus{Tried: t.tries[route], Usual: b.bad[failing].value}
+		r.Routes[route] = RouteStatus{Tried: t.tries[route], BaselineFailureShare: b.bad[failing].value}
 	}
 	t.samples.newest(func(s judgedAnswer) bool {
 		status := r.Routes[s.route]
@@ -331,10 +331,10 @@
 
 // RouteStatus holds the figures of the new version on one route.
 type RouteStatus struct {
-	Tried   int
-	Answers int     // newest answers, as far as they are stored
-	Bad     int     // bad ones among them
-	Usual   float64 // share of the old version's answers that are failures
+	Tried                int
+	Answers              int     // newest answers, as far as they are stored
+	Bad                  int     // bad ones among them
+	BaselineFailureShare float64 // share of the old version's answers that are failures
 }
 
 // Command is an operator's command for a trial.
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -15,7 +15,7 @@
 }
 
 var (
-	order  = Order{Service: "s", To: "v2", Timeout: 10 * time.Second, Row: 7}
+	order  = Order{Service: "s", To: "v2", Timeout: 10 * time.Second, RowVersion: 7}
 	bounds = Bounds{Share: 0.1, Slack: 50}
 )
 
@@ -32,8 +32,8 @@
 func (t *Trial) addRequests(now Time, n int) {
 	free := []Candidate{{Server: "a", Slots: 4}, {Server: "b", Slots: 4}}
 	for range n {
-		if t.Turn(now, free) != "" {
-			t.Tried("r")
+		if t.NextServer(now, free) != "" {
+			t.CountTry("r")
 			t.CountRequest(true)
 			continue
 		}
@@ -128,7 +128,7 @@
 		t.AddAnswer(0, Sample{Route: "rare", Server: "old", RelativeTime: 1}, 3)
 		for range 100 {
 			Expect(t.RouteAllowed("r")).To(BeTrue())
-			t.Tried("r")
+			t.CountTry("r")
 		}
 	})
 
@@ -139,7 +139,7 @@
 		}
 		for range maxRouteLead + 1 {
 			Expect(t.RouteAllowed("r")).To(BeTrue())
-			t.Tried("r")
+			t.CountTry("r")
 		}
 		Expect(t.RouteAllowed("r")).To(BeFalse())
 		Expect(t.RouteAllowed("other")).To(BeTrue())
@@ -148,7 +148,7 @@
 	It("is paused, resumed and rolled back by operators", func() {
 		Expect(t.Apply(CommandPause)).To(BeTrue())
 		Expect(t.Apply(CommandPause)).To(BeFalse(), "repeated command")
-		Expect(t.Turn(0, []Candidate{{Server: "a", Slots: 4}})).To(BeEmpty())
+		Expect(t.NextServer(0, []Candidate{{Server: "a", Slots: 4}})).To(BeEmpty())
 		Expect(t.Apply(CommandResume)).To(BeTrue())
 		Expect(t.Apply(CommandTakeBack)).To(BeTrue())
 		Expect(t.State()).To(Equal(RolledBack))
@@ -156,7 +156,7 @@
 	})
 
 	It("ends when a newer order replaces it", func() {
-		t.Replace()
+		t.Supersede()
 		Expect(t.Phase()).To(Equal(Superseded))
 		Expect(t.Evaluate(order.Timeout, 3)).To(BeFalse())
 	})
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
 // Package routing holds the configuration in force on a host: the service of a request,
 // whether the request may be retried, and who may send it. A Table is an immutable
-// snapshot and is replaced as a whole by a newer version; Current holds the one in force.
+// snapshot and is replaced as a whole by a newer version; CurrentTable holds the one in force.
 package routing
 
 import (
@@ -148,8 +148,8 @@
 // Account returns the account that a key belongs to, nil if there is none.
 func (t *Table) Account(key string) *Account { return t.keys[key] }
 
-// Current holds the table in force. Its version only increases.
-type Current struct {
+// CurrentTable holds the table in force. Its version only increases.
+type CurrentTable struct {
 	table   atomic.Pointer[Table]
 	changed notify.Set
 
@@ -158,14 +158,14 @@
 }
 
 // Get returns the table in force, nil before the first.
-func (c *Current) Get() *Table { return c.table.Load() }
+func (c *CurrentTable) Get() *Table { return c.table.Load() }
 
 // Subscribe returns a channel that receives after changes.
-func (c *Current) Subscribe() <-chan struct{} { return c.changed.Subscribe() }
+func (c *CurrentTable) Subscribe() <-chan struct{} { return c.changed.Subscribe() }
 
 // WaitFirst returns the table in force. If there is none yet, it waits for the first one
 // until the timeout passes or done closes, and returns nil if none came.
-func (c *Current) WaitFirst(done <-chan struct{}, timeout time.Duration) *Table {
+func (c *CurrentTable) WaitFirst(done <-chan struct{}, timeout time.Duration) *Table {
 	if t := c.Get(); t != nil {
 		return t
 	}
@@ -180,7 +180,7 @@
 }
 
 // firstTable returns a channel that closes when the first table is in force.
-func (c *Current) firstTable() <-chan struct{} {
+func (c *CurrentTable) firstTable() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.firstSet == nil {
@@ -197,7 +197,7 @@
 //
 // A late answer of the store may contain an older version than the one in force; using it
 // would undo an accepted change.
-func (c *Current) Replace(t *Table) bool {
+func (c *CurrentTable) Replace(t *Table) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.table.Load()
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -63,7 +63,7 @@
 	// A slow answer of the store may bring an older version seconds after an operator's
 	// change is in force. Using it would route requests as before the change.
 	It("is never replaced by an older version", func() {
-		var c Current
+		var c CurrentTable
 		changed := c.Subscribe()
 		Expect(c.Get()).To(BeNil())
 		Expect(c.Replace(NewTable(Config{Version: 4}))).To(BeTrue())
@@ -113,7 +113,7 @@
 	// After a power loss of the whole fleet, callers of the first half second were told to
 	// retry after seconds, although each host had its configuration 0.3 s later.
 	It("ends when it is in force", func() {
-		var c Current
+		var c CurrentTable
 		time.AfterFunc(20*time.Millisecond, func() { c.Replace(NewTable(Config{Version: 3})) })
 		begun := time.Now()
 		Expect(c.WaitFirst(nil, 5*time.Second)).To(HaveField("Version", int64(3)))
@@ -121,7 +121,7 @@
 		Expect(c.WaitFirst(nil, time.Minute)).NotTo(BeNil(), "without a wait from then on")
 	})
 	It("ends at the timeout or when the caller leaves", func() {
-		var c Current
+		var c CurrentTable
 		Expect(c.WaitFirst(nil, 10*time.Millisecond)).To(BeNil())
 		left := make(chan struct{})
 		close(left)
--- a/internal/sched/inventory.go
+++ b/internal/sched/inventory.go
@@ -12,7 +12,7 @@
 // SetShare changes the share of servers, quotas and retry budgets that this scheduler may
 // use.
 func (s *Scheduler) SetShare(now Time, share Share) {
-	factor := share.Limits / s.share.Limits
+	factor := share.Quotas / s.share.Quotas
 	for _, b := range s.accounts {
 		b.rescale(now, factor)
 	}
@@ -33,7 +33,7 @@
 	for _, spec := range services {
 		svc := s.services[spec.Name]
 		if svc == nil {
-			burst := s.policy.RetryBurst * s.share.Limits
+			burst := s.policy.RetryBurst * s.share.Quotas
 			svc = &service{retryBudget: bucket{burst: burst, level: burst, at: now}, prefillRatio: initialPrefillRatio, versions: s.versionsOf(spec.Name)}
 			s.services[spec.Name] = svc
 		}
@@ -56,7 +56,7 @@
 		if a.Rate <= 0 {
 			continue
 		}
-		rate, burst := a.Rate*s.share.Limits, math.Max(1, a.Burst*s.share.Limits)
+		rate, burst := a.Rate*s.share.Quotas, math.Max(1, a.Burst*s.share.Quotas)
 		b := s.accounts[a.Name]
 		if b == nil {
 			b = newBucket(now, rate, burst, s.hasFullQuotas())
--- a/internal/sched/notices.go
+++ b/internal/sched/notices.go
@@ -92,7 +92,7 @@
 		srv.pacer = pacer{}
 		return
 	}
-	srv.pacer.limit(now, max(current.Limit.PerSecond, minServerRate)*s.share.Sends, srv.hashFraction)
+	srv.pacer.limit(now, max(current.Limit.PerSecond, minServerRate)*s.share.RateLimits, srv.hashFraction)
 }
 
 // forgetNotices drops old notices of servers that are not listed.
--- a/internal/sched/notices_test.go
+++ b/internal/sched/notices_test.go
@@ -61,7 +61,7 @@
 func maxSendsInSpan(perSecond float64) int { return int(1.5*perSecond*limitSpan.Seconds()) + 5 }
 
 var _ = Describe("a server that states a limit of requests per second", func() {
-	home := Share{Servers: 1, Limits: 1, Sends: 1}
+	home := Share{Servers: 1, Quotas: 1, RateLimits: 1}
 
 	DescribeTable("gets requests from a home at that rate, evenly spaced",
 		func(perSecond float64) {
@@ -87,7 +87,7 @@
 				sends := sendsUnderLoad(slow, 30*time.Second, 50*time.Second, 10*ms, nil)
 				sentAlone := -len(sends)
 				for host := range hosts {
-					s := newOneServerScheduler(uint64(host)*7919, Share{Servers: 1 / float64(hosts), Limits: 0.7 / float64(hosts), Sends: 0.4 / float64(hosts)})
+					s := newOneServerScheduler(uint64(host)*7919, Share{Servers: 1 / float64(hosts), Quotas: 0.7 / float64(hosts), RateLimits: 0.4 / float64(hosts)})
 					s.LearnNotices(time.Second, 1, []notice.Record{limitRecord("a", perSecond, 0)})
 					sends = sendsUnderLoad(s, 30*time.Second, 50*time.Second, 50*ms, sends)
 				}
@@ -100,7 +100,7 @@
 
 	// The limit must still hold after the home is lost.
 	It("gets no more when another host takes over and learns the limit only then", func() {
-		first, next := newOneServerScheduler(1, home), newOneServerScheduler(2, Share{Servers: 0.1, Limits: 0.1, Sends: 0.1})
+		first, next := newOneServerScheduler(1, home), newOneServerScheduler(2, Share{Servers: 0.1, Quotas: 0.1, RateLimits: 0.1})
 		first.LearnNotices(0, 1, []notice.Record{limitRecord("a", 1, 0)})
 		sends := sendsUnderLoad(first, 0, 10*time.Second, 10*ms, nil)
 		next.SetShare(10*time.Second, home)
@@ -164,7 +164,7 @@
 
 	// A leaving server must not stay in use because the store's list still has it as ready.
 	It("gets no more requests, whatever the list or other answers say", func() {
-		s := newOneServerScheduler(1, Share{Servers: 1, Limits: 1, Sends: 1})
+		s := newOneServerScheduler(1, Share{Servers: 1, Quotas: 1, RateLimits: 1})
 		s.LearnNotices(0, 1, leavingRecords("a", 0))
 		s.LearnNotices(time.Second, 1, []notice.Record{{Server: "a"}})
 		s.SetServers(time.Second, []Server{{ID: "a", Service: plain, Address: "a", Slots: 8}})
@@ -173,7 +173,7 @@
 	})
 
 	It("gets no more requests although its notice is older than another one", func() {
-		s := newOneServerScheduler(1, Share{Servers: 1, Limits: 1, Sends: 1})
+		s := newOneServerScheduler(1, Share{Servers: 1, Quotas: 1, RateLimits: 1})
 		s.LearnNotices(time.Second, 1, []notice.Record{limitRecord("a", 5, 0)})
 		Expect(s.LearnNotices(2*time.Second, 1, leavingRecords("a", 2*time.Second))).To(HaveLen(1))
 		Expect(sendsUnderLoad(s, 2*time.Second, 4*time.Second, 10*ms, nil)).To(BeEmpty())
@@ -183,7 +183,7 @@
 	// Callers must not be refused while servers of a newer version are listed and the old ones
 	// have announced that they are leaving, which the list does not show yet.
 	It("is replaced by servers of another version when no others are left", func() {
-		s := newOneServerScheduler(1, Share{Servers: 1, Limits: 1, Sends: 1})
+		s := newOneServerScheduler(1, Share{Servers: 1, Quotas: 1, RateLimits: 1})
 		s.SetServers(0, []Server{{ID: "a", Service: plain, Address: "a", Version: "v1", Slots: 8}})
 		s.SetServers(0, []Server{{ID: "a", Service: plain, Address: "a", Version: "v1", Slots: 8}, {ID: "b", Service: plain, Address: "b", Version: "v2", Slots: 8}})
 		s.LearnNotices(0, 1, leavingRecords("a", 0))
@@ -192,7 +192,7 @@
 	})
 
 	It("gets no requests when it is listed after its notice", func() {
-		s := newOneServerScheduler(1, Share{Servers: 1, Limits: 1, Sends: 1})
+		s := newOneServerScheduler(1, Share{Servers: 1, Quotas: 1, RateLimits: 1})
 		s.SetServers(0, nil)
 		s.LearnNotices(0, 1, leavingRecords("a", 0))
 		s.SetServers(time.Second, []Server{{ID: "a", Service: plain, Address: "a", Slots: 8}})
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -240,7 +240,7 @@
 // once, each of 72 has a 72nd of each quota, less than one request needs, and accounts far
 // below their limits would be refused until there is a home, half a second later. Their
 // requests wait for the home instead.
-func (s *Scheduler) hasFullQuotas() bool { return s.share.Limits >= 1 }
+func (s *Scheduler) hasFullQuotas() bool { return s.share.Quotas >= 1 }
 
 func (s *Scheduler) maxQuotaWait(r *Request) time.Duration {
 	return time.Duration(float64(r.Deadline-r.Arrived) * s.policy.MaxQuotaWaitShare)
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -44,11 +44,11 @@
 // get no requests until StartTrial or SetOrderPhase sets the phase of the order.
 func (s *Scheduler) SetOrder(o rollout.Order) {
 	v := s.versionsOf(o.Service)
-	if v.order != nil && v.order.Row >= o.Row {
+	if v.order != nil && v.order.RowVersion >= o.RowVersion {
 		return
 	}
 	if v.trial != nil {
-		v.trial.Replace()
+		v.trial.Supersede()
 	}
 	v.order, v.phase, v.trial = &o, phaseUnknown, nil
 	delete(v.rolledBack, o.To)
@@ -62,13 +62,13 @@
 // tells that it takes the trial over from another scheduler.
 func (s *Scheduler) StartTrial(now Time, o rollout.Order, ago time.Duration, resumed bool) {
 	v := s.versionsOf(o.Service)
-	if v.order == nil || v.order.Row != o.Row || v.trial != nil {
+	if v.order == nil || v.order.RowVersion != o.RowVersion || v.trial != nil {
 		return
 	}
 	v.trial = rollout.NewTrial(now, o, ago, s.bounds, resumed)
 	v.phase = phaseTrying
 	if v.current[o.To] {
-		v.trial.Skip()
+		v.trial.StartMoving()
 		v.phase = phaseMoving
 	}
 	s.groupServers()
@@ -77,7 +77,7 @@
 // SetOrderPhase sets the phase of an order as reported by the store or by the home.
 func (s *Scheduler) SetOrderPhase(o rollout.Order, p rollout.Phase) {
 	v := s.versionsOf(o.Service)
-	if v.order == nil || v.order.Row != o.Row {
+	if v.order == nil || v.order.RowVersion != o.RowVersion {
 		return
 	}
 	switch p {
@@ -273,7 +273,7 @@
 			free = append(free, rollout.Candidate{Server: srv.ID, Slots: srv.Slots})
 		}
 	}
-	return s.servers[svc.versions.trial.Turn(now, free)]
+	return s.servers[svc.versions.trial.NextServer(now, free)]
 }
 
 // placeOnTrial places w at a server on trial, if the trial allows, and reports whether it did.
@@ -284,7 +284,7 @@
 		s.quotaWait(now, r) > 0 || s.suspects.Has(r.Fingerprint) {
 		return false
 	}
-	svc.versions.trial.Tried(r.Route)
+	svc.versions.trial.CountTry(r.Route)
 	s.place(now, svc, srv, w)
 	return true
 }
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("servers of several versions", func() {
-	order := rollout.Order{Service: "app", To: "v2", Timeout: 10 * time.Second, Row: 5}
+	order := rollout.Order{Service: "app", To: "v2", Timeout: 10 * time.Second, RowVersion: 5}
 	var d *versionDriver
 	BeforeEach(func() {
 		d = newVersionDriver()
@@ -119,7 +119,7 @@
 		d.SetOrder(order)
 		d.list(time.Second, map[string]int{"v1": 4, "v2": 4})
 		d.StartTrial(time.Second, order, 0, false)
-		back := rollout.Order{Service: "app", To: "v1", Timeout: 10 * time.Second, Row: 6}
+		back := rollout.Order{Service: "app", To: "v1", Timeout: 10 * time.Second, RowVersion: 6}
 		d.SetOrder(back)
 		d.StartTrial(2*time.Second, back, 0, false)
 		d.Tick(2100 * ms)
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -53,9 +53,9 @@
 // home (the host that runs the scheduler for the others), less at a host that
 // schedules alone.
 type Share struct {
-	Servers float64 // of every server's slots
-	Limits  float64 // of every account's quota and service's retry budget
-	Sends   float64 // of the requests per second that servers state as their limit
+	Servers    float64 // of every server's slots
+	Quotas     float64 // of every account's quota and service's retry budget
+	RateLimits float64 // of the requests per second that servers state as their limit
 }
 
 // DefaultEntryTTL is how long the entry of a server that ended stays listed when the
@@ -65,7 +65,7 @@
 // New returns a scheduler with no services.
 func New(p Policy) *Scheduler {
 	s := &Scheduler{
-		policy: p, share: Share{Servers: 1, Limits: 1, Sends: 1},
+		policy: p, share: Share{Servers: 1, Quotas: 1, RateLimits: 1},
 		services: map[string]*service{}, servers: map[string]*server{},
 		accounts: map[string]*bucket{}, runs: map[Key]*run{},
 		suspects: quarantine.NewTable(), failedRequests: newRequestFailures(), copies: map[quarantine.Fingerprint]int{},
--- a/internal/sched/scheduler_test.go
+++ b/internal/sched/scheduler_test.go
@@ -296,13 +296,13 @@
 	// share of the quota had grown tenfold, but its bucket held only what was left of the small share.
 	It("has half of the burst ready when a host becomes the home, however often", func() {
 		s := newScheduler(1, 1000)
-		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
+		s.SetShare(0, Share{Servers: 0.25, Quotas: 0.1})
 		s.SetAccounts(0, []Account{{Name: "acc", Rate: 1, Burst: 8_000}})
 		for range 3 {
-			s.SetShare(0, Share{Servers: 1, Limits: 1})
-			s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
+			s.SetShare(0, Share{Servers: 1, Quotas: 1})
+			s.SetShare(0, Share{Servers: 0.25, Quotas: 0.1})
 		}
-		s.SetShare(0, Share{Servers: 1, Limits: 1})
+		s.SetShare(0, Share{Servers: 1, Quotas: 1})
 		runs := 0
 		for id := range uint64(20) {
 			out, _ := s.Submit(0, stream(id, 0, 0))
@@ -356,7 +356,7 @@
 				list = append(list, Server{ID: fmt.Sprint("e", i), Service: engine, Slots: slots})
 			}
 			s.SetServers(0, list)
-			s.SetShare(0, Share{Servers: 1.0 / hosts, Limits: 1.0 / hosts})
+			s.SetShare(0, Share{Servers: 1.0 / hosts, Quotas: 1.0 / hosts})
 			for id := range uint64(40) {
 				out, _ := s.Submit(0, stream(id, 0, 0))
 				for _, d := range out {
@@ -374,7 +374,7 @@
 
 	It("stays within its share of the servers when it schedules alone", func() {
 		s := newScheduler(1, 8)
-		s.SetShare(0, Share{Servers: 0.25, Limits: 0.1})
+		s.SetShare(0, Share{Servers: 0.25, Quotas: 0.1})
 		n := 0
 		for id := range uint64(8) {
 			out, _ := s.Submit(0, stream(id, 0, 0))
--- a/internal/sched/share_test.go
+++ b/internal/sched/share_test.go
@@ -14,7 +14,7 @@
 	hostWithoutHome := func() *Scheduler {
 		s := newScheduler(1, 8)
 		s.SetAccounts(0, []Account{{Name: "acc", Rate: 30_000, Burst: 30_000}})
-		s.SetShare(0, Share{Servers: 1, Limits: 0.01})
+		s.SetShare(0, Share{Servers: 1, Quotas: 0.01})
 		return s
 	}
 
@@ -26,7 +26,7 @@
 		Expect(out).To(BeEmpty())
 		Expect(waits).To(BeTrue())
 		Expect(s.Tick(700 * ms)).To(BeEmpty())
-		s.SetShare(710*ms, Share{Servers: 1, Limits: 1})
+		s.SetShare(710*ms, Share{Servers: 1, Quotas: 1})
 		Expect(placed(s.Tick(800 * ms))).To(Equal([]uint64{2}))
 	})
 
@@ -50,7 +50,7 @@
 		units := 0.0
 		for range hosts {
 			s := newScheduler(2, 8)
-			s.SetShare(0, Share{Servers: 1, Limits: 0.7 / hosts})
+			s.SetShare(0, Share{Servers: 1, Quotas: 0.7 / hosts})
 			s.SetAccounts(0, []Account{{Name: "acc", Rate: rate, Burst: rate}})
 			for id := range uint64(4) {
 				r := stream(id, 0, 0)
@@ -72,7 +72,7 @@
 		retries := 0
 		for range hosts {
 			s := newScheduler(1, 1000)
-			s.SetShare(0, Share{Servers: 1, Limits: 1.0 / hosts})
+			s.SetShare(0, Share{Servers: 1, Quotas: 1.0 / hosts})
 			for id := range uint64(30) {
 				r := stream(id, 0, 0)
 				r.Retry = true
@@ -85,8 +85,8 @@
 
 	It("have the whole budget again at a home", func() {
 		s := newScheduler(1, 1000)
-		s.SetShare(0, Share{Servers: 1, Limits: 1.0 / 72})
-		s.SetShare(0, Share{Servers: 1, Limits: 1})
+		s.SetShare(0, Share{Servers: 1, Quotas: 1.0 / 72})
+		s.SetShare(0, Share{Servers: 1, Quotas: 1})
 		r := stream(1, 0, 0)
 		r.Retry = true
 		out, _ := s.Submit(0, r)
--- a/internal/sched/suspects_test.go
+++ b/internal/sched/suspects_test.go
@@ -129,10 +129,10 @@
 			k, _ := d.mustPlace(time.Duration(i)*3*time.Second, f)
 			d.finish(time.Duration(i)*3*time.Second+100*ms, k, ServerEnded)
 		}
-		d.SetShare(5*time.Second, Share{Servers: 0.5, Limits: 0.1})
+		d.SetShare(5*time.Second, Share{Servers: 0.5, Quotas: 0.1})
 		_, out := d.submitCopy(6*time.Second, f)
 		Expect(out).To(BeEmpty())
-		d.SetShare(7*time.Second, Share{Servers: 1, Limits: 1})
+		d.SetShare(7*time.Second, Share{Servers: 1, Quotas: 1})
 		Expect(d.Tick(7 * time.Second)).To(ConsistOf(HaveField("Server", Not(BeEmpty()))))
 	})
 
@@ -140,7 +140,7 @@
 	// ended each time. It must not quarantine the request and write that to the store.
 	It("is not quarantined by a host with partial knowledge", func() {
 		d := newSuspectsDriver(6)
-		d.SetShare(0, Share{Servers: 0.5, Limits: 0.1})
+		d.SetShare(0, Share{Servers: 0.5, Quotas: 0.1})
 		for i := range 4 {
 			at := time.Duration(i) * 3 * time.Second
 			d.RecordLoss(at, quarantine.Loss{Fingerprint: f, Service: engine, Server: fmt.Sprint("e", i)})
@@ -149,7 +149,7 @@
 		_, out := d.submitCopy(20*time.Second, f)
 		Expect(out).To(BeEmpty())
 		Expect(d.QuarantinedRequests()).To(BeZero())
-		d.SetShare(21*time.Second, Share{Servers: 1, Limits: 1})
+		d.SetShare(21*time.Second, Share{Servers: 1, Quotas: 1})
 		Expect(d.Tick(21 * time.Second)).To(ConsistOf(HaveField("Reason", Quarantined)))
 	})
 
