--- a/cmd/gentianctl/rollout.go
+++ b/cmd/gentianctl/rollout.go
@@ -13,7 +13,7 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// rolloutCommand lists the roll-outs of new service versions and pauses, resumes or
+// rolloutCommand lists the rollouts of new service versions and pauses, resumes or
 // rolls back one.
 func rolloutCommand() *cli.Command {
 	address := &cli.StringFlag{Name: "store", Usage: "address of the platform's store, IP:PORT", Required: true, Sources: cli.EnvVars("GENTIAN_STORE")}
--- a/cmd/gentianlab/rollout.go
+++ b/cmd/gentianlab/rollout.go
@@ -51,7 +51,7 @@
 // boundRuns is the number of simulated runs from which the bound is computed.
 const boundRuns = 3000
 
-// formatBound formats the bound of a roll-out, "-" if there is none.
+// formatBound formats the bound of a rollout, "-" if there is none.
 func formatBound(scenario *experiment.Rollout) string {
 	missed, ok := experiment.MinMissRate(scenario, boundRuns)
 	if !ok {
--- a/internal/experiment/bound_test.go
+++ b/internal/experiment/bound_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// rolloutByName finds a simulated roll-out.
+// rolloutByName finds a simulated rollout.
 func rolloutByName(name string) *Rollout {
 	for _, r := range Rollouts() {
 		if r.Name == name {
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -26,7 +26,7 @@
 
 func (b BadVersion) bad() bool { return b.FailShare > 0 || b.Slowdown > 1 }
 
-// Rollout describes the simulation of a roll-out: a service with old and new servers, its
+// Rollout describes the simulation of a rollout: a service with old and new servers, its
 // requests, and faults that are independent of the version.
 type Rollout struct {
 	Name    string
@@ -62,7 +62,7 @@
 	{"confirm", 0.6, 30 * time.Millisecond, false},
 }
 
-// RolloutResult is the result of one simulated roll-out.
+// RolloutResult is the result of one simulated rollout.
 type RolloutResult struct {
 	State    rollout.State
 	Took     time.Duration // time from the order to the decision
@@ -110,7 +110,7 @@
 	stopped    bool
 }
 
-// rolloutSimulation is one run of a roll-out in virtual time.
+// rolloutSimulation is one run of a rollout in virtual time.
 type rolloutSimulation struct {
 	r          *Rollout
 	scheduler  *sched.Scheduler
@@ -123,7 +123,7 @@
 	started    int
 	badAnswers int
 	badLimitAt time.Duration // time of the badAnswerLimit-th bad answer; 0 before
-	decided    bool          // the roll-out was completed or rolled back
+	decided    bool          // the rollout was completed or rolled back
 	result     RolloutResult
 }
 
@@ -135,7 +135,7 @@
 	ended  bool // answered or cut off
 }
 
-// SimulateRollout simulates a roll-out. The same seed gives the same result.
+// SimulateRollout simulates a rollout. The same seed gives the same result.
 func SimulateRollout(r *Rollout, seed uint64) RolloutResult {
 	sim := &rolloutSimulation{
 		r: r, scheduler: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
@@ -274,7 +274,7 @@
 	}
 }
 
-// processSteps handles the decisions of the roll-out.
+// processSteps handles the decisions of the rollout.
 func (sim *rolloutSimulation) processSteps(now time.Duration) {
 	for _, step := range sim.scheduler.TakeRolloutSteps() {
 		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
@@ -406,7 +406,7 @@
 	sim.processSteps(now)
 }
 
-// Rollouts returns all roll-outs, sorted by name: sound versions, with and without faults that
+// Rollouts returns all rollouts, sorted by name: sound versions, with and without faults that
 // affect both versions, and versions with each kind of defect.
 func Rollouts() []*Rollout {
 	// Three plain servers at 250 calls a second, and thirty at 2,000.
@@ -446,7 +446,7 @@
 	return out
 }
 
-// RolloutSum summarizes many runs of one roll-out.
+// RolloutSum summarizes many runs of one rollout.
 type RolloutSummary struct {
 	Runs                           int
 	Completed, RolledBack, Running int
@@ -456,7 +456,7 @@
 	Late, Lost                     int
 }
 
-// SumRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
+// SumRollouts simulates a rollout with the seeds from 0 to seeds-1 on all processors.
 func SimulateRollouts(r *Rollout, seeds int) RolloutSummary {
 	results := make([]RolloutResult, seeds)
 	var running sync.WaitGroup
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout controls the roll-out of a service's new version as a canary release: it
+// Package rollout controls the rollout of a service's new version as a canary release: it
 // decides how much traffic the new servers get, compares their answers with those of the old
 // servers, and decides when the service moves to the new version or is rolled back.
 //
-// A Trial is the state of one roll-out and belongs to one scheduler; a Row is what another host
+// A Trial is the state of one rollout and belongs to one scheduler; a Row is what another host
 // needs to resume it. The package is pure: it reads no clock and does no I/O.
 package rollout
 
@@ -34,10 +34,10 @@
 	return ""
 }
 
-// State is the progress of a roll-out as shown to operators.
+// State is the progress of a rollout as shown to operators.
 type State uint8
 
-// The states of a roll-out.
+// The states of a rollout.
 const (
 	// Running means that the new version is on trial or the service is being moved to it.
 	Running State = iota
--- a/internal/rollout/row.go
+++ b/internal/rollout/row.go
@@ -8,14 +8,14 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Row is the stored state of a roll-out, from which another host can resume it. Only the host that
-// wrote the row may change it; a host that takes over the roll-out rewrites the row under the
+// Row is the stored state of a rollout, from which another host can resume it. Only the host that
+// wrote the row may change it; a host that takes over the rollout rewrites the row under the
 // condition that it is unchanged since it was read.
 type Row struct {
 	Order   int64  `json:"order"` // version of the order's row
 	To      string `json:"to"`
 	Phase   Phase  `json:"phase"`
-	By      string `json:"by"`       // host that runs the roll-out, with its incarnation
+	By      string `json:"by"`       // host that runs the rollout, with its incarnation
 	BegunMs int64  `json:"begun_ms"` // time of the order, by the store's clock
 	Why     string `json:"why,omitempty"`
 }
@@ -23,7 +23,7 @@
 // Begun returns the time of the order by the store's clock.
 func (r Row) Begun() time.Duration { return time.Duration(r.BegunMs) * time.Millisecond }
 
-// Over reports whether the roll-out has ended.
+// Over reports whether the rollout has ended.
 func (r Row) Over() bool { return r.Phase == Moved || r.Phase == PhaseRolledBack }
 
 // State returns the state shown to operators.
@@ -52,7 +52,7 @@
 // commandKeyPrefix precedes the service in the key of an operator's command.
 const commandKeyPrefix = "wish/"
 
-// CommandKey returns the key of the row with an operator's command for a service's roll-out.
+// CommandKey returns the key of the row with an operator's command for a service's rollout.
 func CommandKey(service string) string { return commandKeyPrefix + service }
 
 // ServiceOfCommandKey returns the service in the key of a command.
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -9,7 +9,7 @@
 	"github.com/gentianflow/gentianflow/internal/chart"
 )
 
-// Phase is a state of the chart of a roll-out.
+// Phase is a state of the chart of a rollout.
 type Phase = chart.State
 
 // The phases of a trial; charts/rollout.yaml describes them.
@@ -60,7 +60,7 @@
 	storeWriteMargin = 400 * time.Millisecond
 )
 
-// Trial is one roll-out as the home (the host that runs the scheduler) controls it. It is not
+// Trial is one rollout as the home (the host that runs the scheduler) controls it. It is not
 // safe for concurrent use.
 type Trial struct {
 	Order     Order
@@ -207,7 +207,7 @@
 // route gets far ahead of the others.
 //
 // Routes with rare requests do not hold back the others. Otherwise the others would get no tries,
-// and the roll-out would neither move nor be rolled back.
+// and the rollout would neither move nor be rolled back.
 func (t *Trial) RouteAllowed(route string) bool {
 	minTries := -1
 	for r, b := range t.samples.baselines {
@@ -291,7 +291,7 @@
 }
 
 // OldServersIdle records that no old server has a run that would be cut off when the server stops,
-// and reports whether that completes the roll-out.
+// and reports whether that completes the rollout.
 func (t *Trial) OldServersIdle() bool {
 	return t.Phase() == Moving && t.fire(evEmpty, t.why)
 }
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -93,7 +93,7 @@
 		Expect(t.tried).To(BeNumerically(">", 100))
 	})
 
-	// The host that ran the roll-out is lost. The next one does not know how many requests were
+	// The host that ran the rollout is lost. The next one does not know how many requests were
 	// tried, and would use the slack a second time.
 	It("starts without the slack when it resumes another host's roll-out", func() {
 		t = NewTrial(5*time.Second, order, 5*time.Second, bounds, true)
@@ -121,7 +121,7 @@
 		Expect(t.State()).To(Equal(Completed))
 	})
 
-	// Regression: a route gets one request a minute. The roll-out waited for tries of that route,
+	// Regression: a route gets one request a minute. The rollout waited for tries of that route,
 	// and neither moved nor was rolled back.
 	It("does not wait for a route with hardly any requests", func() {
 		t.addAnswers(0, false, 300, 0, 3)
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -12,17 +12,17 @@
 	// current are the versions in service. Empty until servers are listed.
 	current   map[string]bool
 	maxListed int // largest number of listed servers of the current versions
-	// order is the newest roll-out order for the service, nil if there is none.
+	// order is the newest rollout order for the service, nil if there is none.
 	order *rollout.Order
 	// phase is the phase of order, as far as this scheduler knows.
 	phase orderPhase
-	// trial is set while this scheduler runs the roll-out.
+	// trial is set while this scheduler runs the rollout.
 	trial *rollout.Trial
 	// rolledBack are the versions that were rolled back and not ordered again since.
 	rolledBack map[string]bool
 }
 
-// orderPhase is the phase of a roll-out order.
+// orderPhase is the phase of a rollout order.
 type orderPhase uint8
 
 const (
@@ -290,7 +290,7 @@
 }
 
 // offerNewVersion places w, which may not be interrupted, at a server on trial if at an old
-// server it would run past the end of the roll-out. Old servers stop as soon as the roll-out
+// server it would run past the end of the rollout. Old servers stop as soon as the rollout
 // completes, and their runs with them.
 func (s *Scheduler) offerNewVersion(now Time, svc *service, w *waiting) bool {
 	trial := svc.versions.trial
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -81,7 +81,7 @@
 		Expect(d.usedVersions(time.Second, 10)).To(Equal(map[string]int{"v2": 10}))
 	})
 
-	// A host that schedules alone during a roll-out knows neither how many requests the new
+	// A host that schedules alone during a rollout knows neither how many requests the new
 	// version had nor whether it is bad.
 	It("get no requests for an ordered version from a host that does not run the roll-out", func() {
 		d.SetOrder(order)
