--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,8 +1,8 @@
 // Package claim inserts claim rows into the table service. They ensure that a non-idempotent
-// request runs at most once even if its holder and the home of its service fail together: no
-// host dispatches such a request before its own row is in the table. Rows of many requests are
-// inserted in one call, because the table service takes only several hundred writes a second in
-// total.
+// request runs at most once even if its holder (the entry host that received it) and the home
+// of its service (the host that runs the scheduler) fail together: no host dispatches such a
+// request before its own row is in the table. A Claimer inserts the rows of many requests in
+// one call, because the table service takes only several hundred writes a second in total.
 package claim
 
 import (
@@ -22,8 +22,8 @@
 	groupSize      = 64
 	retryPause     = 50 * time.Millisecond
 	releaseTimeout = 30 * time.Second
-	// releaseChecks is how often Release must find no row of its own before it ends,
-	// releaseWait the time between these checks.
+	// releaseChecks is the number of checks that must find no row of the claim before Release
+	// returns, releaseWait the time between these checks.
 	releaseChecks = 3
 	releaseWait   = 1 * time.Second
 )
@@ -40,7 +40,7 @@
 // be dispatched then.
 type Result struct {
 	Won     bool
-	Owner   Claimant // of the row, if another claim holds it
+	Owner   Claimant // value of the row: this claim's if Won, else another claim's
 	Version uint64   // of the row, for a takeover
 	Err     error
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// Run inserts groups until ctx ends, one at a time: while one call is in flight, the next group
-// collects.
+// Run inserts groups until ctx ends, one at a time: claims that arrive while a call is in flight
+// form the next group.
 func (c *Claimer) Run(ctx context.Context) {
 	var pending []*pendingClaim
 	for {
@@ -171,12 +171,12 @@
 	return Result{Won: owner.Token == p.claimant.Token, Owner: owner, Version: row.Version}
 }
 
-// Release deletes the row of a claim that was not used, while it is this host's. It gives up
-// after releaseTimeout: a row that remains makes a later resend ask this host, which knows that
-// nothing ran.
+// Release deletes the row of a claim that was not used, if the row still carries the claim's
+// token. It gives up after releaseTimeout: a row that remains makes a later resend ask this
+// host, which knows that nothing ran.
 //
 // The insert may still be in flight when the claim is given up, and arrive after the first
-// check found nothing to delete. The row would then block its key, so it is checked several
+// check found nothing to delete. The row would then block its key, so Release checks several
 // times.
 func (c *Claimer) Release(ctx context.Context, id ident.RequestID, claimant Claimant) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
