--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// AcquireOrRenew acquires the lease or renews it, and reports whether it is held after the call. If the
-// call fails, the lease stays held until it expires.
+// AcquireOrRenew acquires the lease or renews it, and reports whether it is held after the call.
+// If the call fails, a held lease stays held until it expires.
 func (l *Lease) AcquireOrRenew(ctx context.Context) (bool, error) {
 	start := l.now()
 	current, err := l.table.Get(ctx, l.key())
@@ -172,8 +172,8 @@
 	l.mu.Unlock()
 }
 
-// acquired records the hold from before the call, since the row may have been written at any
-// time after that.
+// acquired records that the lease is held. Its time counts from before the call (start), since
+// the row may have been written at any time after that.
 func (l *Lease) acquired(start time.Time, r row, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
