--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -19,7 +19,7 @@
 	"github.com/gentianflow/gentianflow/internal/lease"
 )
 
-// ReconcilePeriod is the time between two rounds.
+// ReconcilePeriod is the time between two rounds, which are calls of Reconciler.Reconcile.
 const ReconcilePeriod = 1 * time.Second
 
 // ServerClient reads and sets the state of one backend server.
@@ -51,8 +51,8 @@
 	return &Reconciler{service: service, lease: l, events: events, lastOrdered: map[ident.ServerID]string{}}
 }
 
-// Reconcile renews the lease and compares every server with its desired state. Without the lease it
-// does nothing.
+// Reconcile runs one round: it renews the lease, compares every server with its desired state and
+// orders what differs. Without the lease it does nothing.
 func (r *Reconciler) Reconcile(ctx context.Context, desired []DesiredState) {
 	if len(desired) == 0 {
 		return
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -51,8 +51,8 @@
 	return []platform.WriteResult{{Done: done, Row: t.row}}, nil
 }
 
-// engine accepts orders; hold delays the delivery of the next order until late is called, as a
-// pause of the sender or a slow network would.
+// engine is a backend server that accepts orders. If hold is set, the next order is delivered
+// only when late is called, as after a pause of the sender or in a slow network.
 type engine struct {
 	checksFence bool
 	fence       uint64
@@ -100,10 +100,10 @@
 	}
 	ctx := context.Background()
 	// takeOver runs rounds of a second host until it holds the lease.
-	takeOver := func(g *order.Reconciler, e *engine, state string) {
-		g.Reconcile(ctx, desiredState(e, state))
+	takeOver := func(r *order.Reconciler, e *engine, state string) {
+		r.Reconcile(ctx, desiredState(e, state))
 		now = now.Add(lease.TTL + lease.TakeoverMargin + time.Millisecond)
-		g.Reconcile(ctx, desiredState(e, state))
+		r.Reconcile(ctx, desiredState(e, state))
 	}
 
 	// The holder is paused between its last check of the lease and the sending of the order,
