--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -13,7 +13,7 @@
 	"github.com/gentianflow/gentianflow/internal/platform"
 )
 
-// Proposal is an operator's change.
+// Proposal is a configuration that an operator proposes to replace version Base.
 type Proposal struct {
 	Base     uint64 `json:"base"`      // the version that it is based on
 	ChangeID string `json:"change_id"` // unique; identifies the change after a lost answer
@@ -44,7 +44,7 @@
 		return Change{}, err
 	}
 	for {
-		change, known, err := s.try(ctx, p, object)
+		change, known, err := s.tryApply(ctx, p, object)
 		if known {
 			return change, err
 		}
@@ -57,13 +57,14 @@
 	}
 }
 
-// try reads the version row and writes it once.
+// tryApply reads the version row and writes it once. It returns false if the outcome is unknown or
+// the row has changed in between; Apply then tries again.
 //
 // A write whose answer was lost may have taken effect, so a second write could fail on the
 // first one and report a false conflict. Therefore the row, which lists the newest changes, is
 // read before each write: if this change is among them it was accepted, regardless of later
 // changes.
-func (s *Syncer) try(ctx context.Context, p Proposal, object string) (Change, bool, error) {
+func (s *Syncer) tryApply(ctx context.Context, p Proposal, object string) (Change, bool, error) {
 	row, err := s.table.Get(ctx, rowKey)
 	if err != nil {
 		return Change{}, false, err
@@ -73,7 +74,7 @@
 		return Change{}, true, err
 	}
 	if accepted, ok := current.find(p.ChangeID); ok {
-		s.recordAccepted(accepted, p)
+		s.applyAccepted(accepted, p)
 		return accepted, true, nil
 	}
 	if current.newest().Version != p.Base {
@@ -91,11 +92,12 @@
 	if !results[0].Done {
 		return Change{}, false, failure.New(failure.Conflict, "the version row moved")
 	}
-	s.recordAccepted(change, p)
+	s.applyAccepted(change, p)
 	return change, true, nil
 }
 
-func (s *Syncer) recordAccepted(c Change, p Proposal) {
+// applyAccepted records an accepted change and puts it in force on this host.
+func (s *Syncer) applyAccepted(c Change, p Proposal) {
 	s.events.Record(event.ConfigApplied, event.Fields{Detail: versionDetail(c.Version, c.ChangeID)})
 	s.applyIfNewer(c.Version, c.ChangeID, p.Text, event.ConfigInForce)
 }
@@ -140,12 +142,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := decodeVersionRow(row.Value)
-	return p.Changes, err
+	versions, err := decodeVersionRow(row.Value)
+	return versions.Changes, err
 }
 
-// NewerThan returns the configuration in force if its version is above the given one, for a peer
-// that asks.
+// NewerThan returns the configuration in force if its version is above the given one. It answers
+// the requests of peers.
 func (s *Syncer) NewerThan(above uint64) (*InForce, bool) {
 	c := s.Current()
 	if c == nil || c.Version <= above {
--- a/internal/configsync/pointer.go
+++ b/internal/configsync/pointer.go
@@ -1,7 +1,7 @@
-// Package configsync maintains the configuration in force on a host. Versions are decided only
-// in the version row in the table service; a host polls it, sends its version to its peers and
-// fetches a newer document from any host that has it. The higher version always wins: a host
-// never goes back to a lower one.
+// Package configsync maintains the configuration in force on a host. Only the version row in the
+// table service decides which version is the newest. The Syncer of a host polls this row, reads
+// a newer document from the object store or from a peer that has it, and writes operators'
+// changes. The higher version always wins: a host never goes back to a lower one.
 //
 // Failure cases: the store is down (peers still distribute an accepted change, and a new host
 // fetches the document from them); the answer to a change is lost (the row lists the newest
@@ -64,13 +64,13 @@
 	return Change{}, false
 }
 
-// withChange returns the value after one more change.
+// withChange returns the row with one more change, limited to the newest maxChanges.
 func (r versionRow) withChange(c Change) versionRow {
-	all := append(append([]Change(nil), r.Changes...), c)
-	if len(all) > maxChanges {
-		all = all[len(all)-maxChanges:]
+	changes := append(append([]Change(nil), r.Changes...), c)
+	if len(changes) > maxChanges {
+		changes = changes[len(changes)-maxChanges:]
 	}
-	return versionRow{Changes: all}
+	return versionRow{Changes: changes}
 }
 
 func objectName(document []byte) string {
--- a/internal/configsync/syncer.go
+++ b/internal/configsync/syncer.go
@@ -14,7 +14,7 @@
 )
 
 // PollPeriod is the interval between two reads of the version row. Since peers exchange their
-// versions, a read by one host suffices for the whole fleet.
+// version numbers, a read by one host suffices for the whole fleet.
 const PollPeriod = 2 * time.Second
 
 // InForce is one version of the configuration with its document. It is immutable.
@@ -70,7 +70,7 @@
 // Subscribe returns a channel that receives a value after each new version.
 func (s *Syncer) Subscribe() <-chan struct{} { return s.changed.Subscribe() }
 
-// Wake makes Run ask the peers at once, because a peer has a newer version.
+// Wake makes Run ask the peers at once. It is called when a peer has a newer version.
 func (s *Syncer) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -78,7 +78,7 @@
 	}
 }
 
-// Run polls until ctx ends.
+// Run polls the version row until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(PollPeriod)
 	defer ticker.Stop()
@@ -94,7 +94,8 @@
 	}
 }
 
-// pull reads the version row, and asks peers if the store doesn't answer.
+// pull reads the version row and a newer document. It asks the peers if the store doesn't return
+// either of them.
 func (s *Syncer) pull(ctx context.Context) {
 	newest, err := s.newest(ctx)
 	if ctx.Err() != nil {
@@ -124,8 +125,8 @@
 	if err != nil {
 		return Change{}, err
 	}
-	p, err := decodeVersionRow(row.Value)
-	return p.newest(), err
+	versions, err := decodeVersionRow(row.Value)
+	return versions.newest(), err
 }
 
 func (s *Syncer) pullPeers(ctx context.Context) {
