--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -121,10 +121,10 @@
 		path := fmt.Sprintf("services[%d]", i)
 		r.requireUnique(path+".name", s.Name, names)
 		for j, b := range s.BackendServers {
-			at := fmt.Sprintf("%s.backend_servers[%d]", path, j)
-			r.requireUnique(at+".name", b.Name, servers)
-			r.requireUnique(at+".address", b.Address, addresses)
-			r.requireOneOf(at+".availability_zone", b.AvailabilityZone, r.zones)
+			serverPath := fmt.Sprintf("%s.backend_servers[%d]", path, j)
+			r.requireUnique(serverPath+".name", b.Name, servers)
+			r.requireUnique(serverPath+".address", b.Address, addresses)
+			r.requireOneOf(serverPath+".availability_zone", b.AvailabilityZone, r.zones)
 		}
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,6 +1,7 @@
 // Package config defines the operators' configuration document: the inventory
 // (places, services, backend servers, client accounts) and the rules (tiers,
-// request kinds). Decoding is strict and every cross-reference is checked.
+// request kinds). Document is its main type; Decode reads it strictly and checks
+// every cross-reference, Diff lists the differences between two documents.
 package config
 
 import (
@@ -76,7 +77,7 @@
 	Name             string      `yaml:"name" validate:"required"`
 	Address          string      `yaml:"address" validate:"required,hostname_port"`
 	AvailabilityZone string      `yaml:"availability_zone" validate:"required"`
-	Speed            float64     `yaml:"speed,omitempty" validate:"gte=0"`         // initial estimate, relative to the slowest generation; 0 means 1
+	Speed            float64     `yaml:"speed,omitempty" validate:"gte=0"`         // initial estimate, relative to the slowest server generation; 0 means 1
 	MaxSequences     int         `yaml:"max_sequences,omitempty" validate:"gte=0"` // maximum number of concurrent requests; 0 means 32
 	CacheTokens      int         `yaml:"cache_tokens,omitempty" validate:"gte=0"`  // prefix cache size; 0 means 60,000
 	ChecksFencing    bool        `yaml:"checks_fencing,omitempty"`                 // the server refuses orders with an old fencing number
@@ -104,7 +105,7 @@
 type Tier struct {
 	Number   int      `yaml:"number" validate:"gte=1,lte=9"`
 	Name     string   `yaml:"name" validate:"required"`
-	Deadline Duration `yaml:"deadline" validate:"gt=0"` // for the whole answer, unless the kind says otherwise
+	Deadline Duration `yaml:"deadline" validate:"gt=0"` // for the whole answer, unless the request kind sets its own
 }
 
 // RequestKind is a class of calls to a service.
@@ -116,10 +117,11 @@
 	NonIdempotent bool     `yaml:"non_idempotent,omitempty"`
 }
 
-// LookupRules control the answers of the address look-up.
+// LookupRules control the answers of the address look-up, by which callers find
+// the entry hosts of a service.
 type LookupRules struct {
 	TTL             Duration `yaml:"ttl,omitempty" validate:"gte=0"`               // how long callers cache an answer; 0 means 5s
-	HostsPerService int      `yaml:"hosts_per_service,omitempty" validate:"gte=0"` // 0 means 9
+	HostsPerService int      `yaml:"hosts_per_service,omitempty" validate:"gte=0"` // maximum number of entry hosts in an answer; 0 means 9
 }
 
 // Limits bound the resources of a host that one caller or one service may use.
