--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,6 @@
 // Package failure defines the typed errors of the system. Every error has a
-// Code, which determines the HTTP status, what a caller may conclude about
-// the request (Outcome) and whether the call may be retried.
+// Code, which determines the HTTP status and the Outcome: what a caller may
+// conclude about the request, and thus whether it may be retried.
 package failure
 
 import (
@@ -67,6 +67,7 @@
 	Internal        Code = "internal"
 )
 
+// class is what a caller receives for a code.
 type class struct {
 	status  int
 	outcome Outcome
