--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -65,7 +65,8 @@
 }
 
 // StreamIdleTimeout is how long a stream may be idle before it is cancelled. The
-// caller then resumes it on a new connection.
+// holder (the entry host that received the request) then resumes it on a new
+// connection.
 const StreamIdleTimeout = 2 * time.Second
 
 const connectTimeout = 500 * time.Millisecond
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -118,7 +118,7 @@
 
 	// A holder that is paused while it connects must not send after its grant has
 	// expired.
-	It("that may no longer be sent once the connection is open was not dispatched", func() {
+	It("is not dispatched if it is no longer allowed when the connection is open", func() {
 		address, seen := rawServer(func(int64) string { return "" })
 		newServer, _ := backend.NewFactory()
 		for _, plain := range []bool{true, false} {
@@ -130,7 +130,7 @@
 		Expect(seen.Load()).To(BeZero())
 	})
 
-	It("that is refused was provably not dispatched", func() {
+	It("is provably not dispatched if the connection is refused", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
@@ -152,7 +152,7 @@
 	}
 	part := func(owner ident.RequestID, i int) string { return fmt.Sprintf("id: %s:%d\ndata: p%d", owner, i, i) }
 
-	It("is whole with its end mark", func() {
+	It("is complete with a valid end mark", func() {
 		sink, err := send(stream(part(id, 0), ": waiting", part(id, 1), "event: end\ndata: {\"parts\":2}"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sink.parts).To(Equal([]string{"p0", "p1"}))
@@ -160,7 +160,7 @@
 
 	// An engine or a middlebox may mix up two streams. The caller must not
 	// receive a part of another caller's answer.
-	DescribeTable("is not whole", func(events ...string) {
+	DescribeTable("is refused as incomplete or mixed up", func(events ...string) {
 		_, err := send(stream(events...))
 		Expect(failure.Is(err, failure.ServerLost)).To(BeTrue())
 	},
--- a/internal/backend/model.go
+++ b/internal/backend/model.go
@@ -198,7 +198,7 @@
 // StreamIdleTimeout.
 //
 // A connection whose state a middlebox has lost stays open without traffic, and
-// a read on it never returns. The timer ends the read, and the caller resumes
+// a read on it never returns. The timer ends the read, and the holder resumes
 // the stream on a new connection.
 type idleTimer struct{ timer *time.Timer }
 
--- a/internal/backend/order.go
+++ b/internal/backend/order.go
@@ -31,7 +31,7 @@
 	return b.State, err
 }
 
-// Order orders the server into a state, under a fencing number. It fails with
+// Order tells the server to enter a state, under a fencing number. It fails with
 // StaleFence when the server has seen a higher number.
 func (c *ServerClient) Order(ctx context.Context, fence uint64, state string) error {
 	text, err := json.Marshal(orderBody{Fence: fence, State: state})
--- a/internal/backend/transport.go
+++ b/internal/backend/transport.go
@@ -12,8 +12,8 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// countingConn counts the bytes that were passed to the socket. Without any, a
-// failed request was not dispatched.
+// countingConn counts the bytes that were passed to the socket. If there were
+// none, a failed request was not dispatched.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -34,8 +34,8 @@
 //
 // A reused connection whose state a middlebox has lost accepts a request but
 // does not deliver it. Since bytes were written, the caller can only be told
-// that the outcome is unknown. A new connection has just proved that it works,
-// at the cost of one round trip.
+// that the outcome is unknown. The handshake of a new connection proves that it
+// works, at the cost of one round trip.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	return &http.Transport{
