--- a/internal/cellwire/home.go
+++ b/internal/cellwire/home.go
@@ -28,8 +28,8 @@
 }
 
 // Action converts a frame from a home into an action. Frames that only concern
-// the stream, such as echoes, and frames of a type that is not sent to a holder
-// fail with BadFrame.
+// the stream, such as echoes of heartbeats, and frames of a type that is not
+// sent to a holder fail with BadFrame.
 func Action(f *wire.Frame) (core.Action, error) {
 	var a core.Action
 	var raw []byte
