--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -14,7 +14,8 @@
 // Level is the severity of an event.
 type Level string
 
-// Trace events are added to the timeline only; other events are logged as well.
+// Trace events are added to the timeline only; other events are logged as well,
+// Alarm events at the log level error.
 const (
 	Trace Level = "trace"
 	Info  Level = "info"
--- a/internal/event/recorder.go
+++ b/internal/event/recorder.go
@@ -1,7 +1,8 @@
 // Package event records numbered events of a process in the log and in a bounded
 // timeline. Each event has a Lamport time. Hosts include it in their messages, so
 // that the merged timeline of all hosts is in causal order although their clocks
-// differ.
+// differ. A Recorder records events, Merge combines the timelines of several hosts,
+// and Output writes the log lines without blocking.
 package event
 
 import (
@@ -45,8 +46,8 @@
 
 	mu      sync.Mutex
 	lamport uint64
-	events  []Event
-	next    int
+	events  []Event // ring buffer
+	next    int     // index of the oldest event once the buffer is full
 }
 
 // NewRecorder returns a recorder that keeps the newest size events and logs to logger.
