--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -87,7 +87,7 @@
 type RequestHistory struct {
 	Request []Line // of the request
 	Host    []Line // of its host and servers around that time
-	Ends    []Line // of servers that ended under the same request, whatever its id was
+	Ends    []Line // of servers that ended while they ran the same request, under whatever id
 }
 
 // Find collects the lines about a request. It fails with UnknownRequest when no line names it.
@@ -116,7 +116,7 @@
 		}
 	}
 	sortByTime(history.Host)
-	history.Ends = endsWithFingerprint(lines, textField(history.Request[len(history.Request)-1].Detail, "fingerprint"))
+	history.Ends = serverEndsByFingerprint(lines, textField(history.Request[len(history.Request)-1].Detail, "fingerprint"))
 	return history, nil
 }
 
@@ -126,9 +126,9 @@
 	requestQuarantined = "request_quarantined"
 )
 
-// endsWithFingerprint lists the ends of servers under the request with a fingerprint, and its
-// quarantine, in order of time.
-func endsWithFingerprint(lines []Line, fingerprint string) []Line {
+// serverEndsByFingerprint lists the ends of servers while they ran the request with a
+// fingerprint, and its quarantine, in order of time.
+func serverEndsByFingerprint(lines []Line, fingerprint string) []Line {
 	if fingerprint == "" {
 		return nil
 	}
@@ -176,8 +176,8 @@
 }
 
 // Cause returns the usual cause of the request's end, empty if its lines show no failure.
-func (s RequestHistory) Cause() string {
-	last := s.Request[len(s.Request)-1]
+func (h RequestHistory) Cause() string {
+	last := h.Request[len(h.Request)-1]
 	for _, c := range causes {
 		if strings.Contains(last.Detail, c.phrase) {
 			return c.cause
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -10,7 +10,8 @@
 // Outcome is how a request ended, with the cause of a failure or delay.
 type Outcome string
 
-// Outcomes of requests. Late ones are divided by the phase that took most of their time.
+// Outcomes of requests. Late ones are divided by cause: the wait for a server, the time to the
+// first event, or a pause between two events of the stream.
 const (
 	InTime       Outcome = "in time"
 	LateWait     Outcome = "late: waited"
@@ -84,7 +85,8 @@
 	return "", false
 }
 
-// outcomeOfAnswer reports whether an answer was in time, or what made it late.
+// outcomeOfAnswer reports whether an answer was in time, or what made it late. In the detail, aim
+// is the latency target, pause the longest pause between two events and most its limit.
 func outcomeOfAnswer(detail string) Outcome {
 	waited, first := durationField(detail, "waited"), durationField(detail, "first")
 	latencyTarget, pause, maxPause := durationField(detail, "aim"), durationField(detail, "pause"), durationField(detail, "most")
