--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -42,7 +42,9 @@
 	headerTimeout     = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	drainPollInterval = 50 * time.Millisecond
-	memberHorizon     = 150 * time.Second // above the default horizon, for which a ledger keeps request ids
+	// memberHorizon is how long dead members are remembered. It is above the
+	// default horizon, for which a ledger (the record of request ids) keeps its entries.
+	memberHorizon = 150 * time.Second
 )
 
 // Daemon is one running entry host.
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -149,7 +149,7 @@
 	if c, ok := d.config.NewerThan(req.Above); ok {
 		reply.Version, reply.ChangeId, reply.Document = c.Version, c.ChangeID, c.Text
 	}
-	_ = wire.Write(st, reply) // the requesting host tries another peer
+	_ = wire.Write(st, reply) // after a failed write, the requesting host tries another peer
 }
 
 const metricsInterval = 1 * time.Second
