--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -80,7 +80,8 @@
 // String returns the id as 32 hex digits.
 func (id RequestID) String() string { return hex.EncodeToString(id[:]) }
 
-// MarshalText implements encoding.TextMarshaler; JSON histories use it.
+// MarshalText implements encoding.TextMarshaler, for the JSON histories of package
+// history.
 func (id RequestID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/internal/ident/names.go
+++ b/internal/ident/names.go
@@ -3,7 +3,8 @@
 import "github.com/cespare/xxhash/v2"
 
 // ServerID and AccountID are four-byte hashes that replace names in frequent
-// messages. The configuration check rejects two names with the same id.
+// messages. Two names must not have the same id; the configuration check
+// rejects equal names but does not compare the ids.
 type (
 	ServerID  uint32
 	AccountID uint32
