--- a/internal/prefix/seen.go
+++ b/internal/prefix/seen.go
@@ -23,8 +23,8 @@
 
 // Observe adds a prompt and returns the key and the length in tokens of the
 // prefix that it shares with earlier prompts, or key 0 if it shares none. The
-// first prompt with a prefix therefore has no key: callers do not state their
-// prefixes, which costs one miss for each new prefix and host.
+// first prompt with a prefix therefore has no key: its caller did not state the
+// prefix (see KeyAt), which costs one miss for each new prefix and host.
 func (s *BlockSet) Observe(prompt string) (Key, int) {
 	chain := Chain(prompt)
 	shared := 0
