--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,6 +1,7 @@
-// Package chart parses and runs state charts. Code that changes the state of a
-// request, backend server, lease, member, link or rollout takes the next state
-// from its chart, so only transitions declared in the chart's file can happen.
+// Package chart parses and runs state charts: a Chart is the validated file, a
+// Machine one running instance. Code that changes the state of a request, backend
+// server, lease, member, rollout or link (from a holder to its home) takes the next
+// state from the chart, so only transitions declared in the chart's file can happen.
 package chart
 
 import (
@@ -133,12 +134,12 @@
 }
 
 func (c *Chart) stateNames() []State {
-	stateNames := make([]State, 0, len(c.states))
+	names := make([]State, 0, len(c.states))
 	for s := range c.states {
-		stateNames = append(stateNames, s)
+		names = append(names, s)
 	}
-	sort.Slice(stateNames, func(i, j int) bool { return stateNames[i] < stateNames[j] })
-	return stateNames
+	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
+	return names
 }
 
 // Next returns the target of the transition from a state on e. It fails with
