--- a/caller/call.go
+++ b/caller/call.go
@@ -49,7 +49,7 @@
 }
 
 // errInterrupted marks a connection that broke or timed out after the request was
-// sent, and a stream with inconsistent data. A host may hold or run the request.
+// sent, or a stream with inconsistent data. A host may hold or run the request.
 var errInterrupted = errors.New("connection interrupted")
 
 // errNotSent marks a failure before the first byte of the request was sent.
@@ -122,6 +122,8 @@
 	return nil, last
 }
 
+// final returns the result of the last attempt. If there is none, because the
+// caller gave up during the attempt, it returns holderLost.
 func (k *call) final(ctx context.Context, a *Answer, f *Failure) (*Answer, *Failure) {
 	if a == nil && f == nil {
 		return nil, k.holderLost("the caller gave up: " + ctx.Err().Error())
@@ -190,8 +192,8 @@
 	return a, f, final
 }
 
-// reportNotRun reports to the observer that the id of an attempt provably did not
-// run. It does so only if the next attempt uses a new id.
+// reportNotRun reports to the observer that the request provably did not run under
+// the id of an attempt. It does so only if the next attempt uses a new id.
 func (k *call) reportNotRun(f *Failure) {
 	if o := k.c.opt.Observer; o != nil && len(k.tried) == 0 && k.req.Key == "" {
 		o.Told(k.idText(), k.req, nil, f)
@@ -241,7 +243,8 @@
 				c.idleTimer.Store(idleTimer)
 			}
 		},
-		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil }, // any number of them
+		// Lifts net/http's limit on 1xx responses, which hosts send as keep-alives.
+		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
 	}
 	// NopCloser hides the reader's type, so that the request has no GetBody and
 	// net/http never sends it twice on its own.
@@ -321,8 +324,8 @@
 	return k.readStream(ctx, h, resp)
 }
 
-// isFailure reports whether the response is an error of an entry host. The
-// status does not tell, because plain services may answer with any status. Only
+// isFailure reports whether the response is an error of an entry host. It does
+// not look at the status, because plain services may answer with any. Only
 // answers have a checksum or are event streams.
 func isFailure(resp *http.Response) bool {
 	return resp.Header.Get(callerapi.HeaderChecksum) == "" && !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
@@ -340,7 +343,7 @@
 }
 
 func (k *call) readPlain(ctx context.Context, h callerapi.LookupHost, resp *http.Response) (*Answer, *Failure, bool) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	sum := strconv.FormatUint(xxhash.Sum64(body), 16)
 	if err != nil || sum != resp.Header.Get(callerapi.HeaderChecksum) {
 		k.c.markFailed(h.Address)
@@ -392,7 +395,8 @@
 				c.idleTimer.Store(idleTimer)
 			}
 		},
-		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil }, // any number of them
+		// Lifts net/http's limit on 1xx responses, which hosts send as keep-alives.
+		Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
 	}
 	path := "/v1/services/" + k.c.opt.Service + "/requests/" + k.idText() + "?stream=true&offset=" + strconv.Itoa(len(k.data))
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, "http://"+h.Address+path, nil)
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,11 +1,12 @@
 // Package caller is the Go client of gentianflow. It looks up which entry
-// hosts serve a service and generates request ids. An id contains the ticket,
-// which identifies the running process, of the host that it is first sent to.
+// hosts serve a service and generates request ids. An id contains the ticket of
+// the host that it is first sent to; the ticket identifies the running process.
 // When a connection breaks or times out, the client sends the same id through
 // another host or attaches to the answer again, so that a request runs at most
 // once and its answer arrives complete.
 //
-// Every call ends in one of three ways: a complete Answer; a Failure with the
+// A Client makes the calls: Do sends a Request, and Attach reads the answer to an
+// earlier one. Every call ends in one of three ways: a complete Answer; a Failure with the
 // Outcome "not run", if the request provably did not run; or a Failure with the
 // Outcome "unknown", if nobody can prove whether the request ran.
 package caller
@@ -70,9 +71,9 @@
 	lookupTimeout   = 2 * time.Second
 	// idleTimeout is how long a connection may be without incoming data. Hosts
 	// send a keep-alive every second.
-	idleTimeout = 3 * time.Second
-	retryPause  = 100 * time.Millisecond
-	maxAnswer   = 64 << 20
+	idleTimeout    = 3 * time.Second
+	retryPause     = 100 * time.Millisecond
+	maxAnswerBytes = 64 << 20
 )
 
 // Client calls one service for one client account. It is safe for
@@ -151,7 +152,8 @@
 	return append(healthy, failed...)
 }
 
-// rotate rotates the leading hosts of one availability zone by a random number.
+// rotate rotates the leading hosts that share an availability zone by a random
+// number of places.
 func rotate(hosts []callerapi.LookupHost) []callerapi.LookupHost {
 	sameZone := 0
 	for sameZone < len(hosts) && hosts[sameZone].AvailabilityZone == hosts[0].AvailabilityZone {
@@ -192,7 +194,7 @@
 		return nil, readFailure(resp, "")
 	}
 	var reply callerapi.LookupReply
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&reply); err != nil {
 		return nil, localFailure(err)
 	}
 	return &reply, nil
@@ -208,7 +210,7 @@
 // without a valid error body is unknown.
 func readFailure(resp *http.Response, id string) *Failure {
 	var body callerapi.ErrorBody
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil || json.Unmarshal(text, &body) != nil || body.Error.Code == "" {
 		return &Failure{Code: string(failure.Internal), Outcome: string(failure.Unknown), RequestID: id, Message: fmt.Sprintf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))}
 	}
