--- a/cmd/gentianctl/config.go
+++ b/cmd/gentianctl/config.go
@@ -20,7 +20,7 @@
 		Name:  "config",
 		Usage: "check, show, compare and change the configuration",
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "validate a document without contacting a fleet", ArgsUsage: "FILE", Action: configCheck},
+			{Name: "check", Usage: "validate a configuration document without contacting a fleet", ArgsUsage: "FILE", Action: configCheck},
 			{Name: "show", Usage: "print the configuration in force", Action: configShow},
 			{Name: "diff", Usage: "print the changes that FILE would make", ArgsUsage: "FILE", Action: configDiff},
 			{
@@ -153,8 +153,8 @@
 	}
 }
 
-// hostsByVersion separates the hosts on which the version, or a newer one, is
-// in force from those on which it is not known to be.
+// hostsByVersion returns in have the hosts on which the version, or a newer one, is
+// in force, and in missing those that have an older one or do not answer.
 func hostsByVersion(ctx context.Context, client *adminClient, version uint64) (missing, have []string, err error) {
 	members, err := client.members(ctx)
 	if err != nil {
--- a/cmd/gentianctl/platform.go
+++ b/cmd/gentianctl/platform.go
@@ -14,8 +14,9 @@
 	"github.com/gentianflow/gentianflow/platform"
 )
 
-// platformCommand checks settings and configurations for the prepared platform
-// before gentianhost reads them.
+// platformCommand has the commands for gentianhost, the daemon for the prepared
+// platform: they check its settings and configuration before it reads them, and
+// manage the quarantined requests and roll-outs in the platform's store.
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name: "platform", Usage: "check host files for the prepared platform; manage quarantined requests and roll-outs",
@@ -29,7 +30,7 @@
 	}
 }
 
-// checkEach checks all files and fails if any of them is invalid.
+// checkEach returns an action that checks all files and fails if any of them is invalid.
 func checkEach(check func(path string) (string, error)) cli.ActionFunc {
 	return func(_ context.Context, c *cli.Command) error {
 		if c.Args().Len() == 0 {
--- a/cmd/gentianctl/rollout.go
+++ b/cmd/gentianctl/rollout.go
@@ -27,7 +27,7 @@
 		Name: "rollout", Usage: "manage roll-outs of new service versions",
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "list roll-outs with their phase, the host that runs them and the reason", Flags: []cli.Flag{address}, Action: listRollouts},
-			newCommand("pause", "pause the trial of the new version and the moves to it", rollout.CommandPause),
+			newCommand("pause", "pause the trial of the new version, or the move of traffic to it", rollout.CommandPause),
 			newCommand("resume", "resume a paused roll-out", rollout.CommandResume),
 			newCommand("take-back", "roll back to the old version", rollout.CommandTakeBack),
 		},
--- a/cmd/gentianhost/main.go
+++ b/cmd/gentianhost/main.go
@@ -1,5 +1,5 @@
 // Command gentianhost is the daemon that runs on every entry host of the
-// prepared platform.
+// prepared platform, whose store and formats package platform implements.
 package main
 
 import "C" // links the program to the C library, as the platform requires
@@ -86,8 +86,8 @@
 	return n.Run(ctx)
 }
 
-// adapter returns the platform's store and its data and header formats as a
-// node.Platform.
+// adapter returns a node.Platform made of the platform's store at the address and
+// its data and header formats.
 func adapter(address string) node.Platform {
 	s := platform.NewStore(address)
 	return node.Platform{
--- a/cmd/gentianlab/main.go
+++ b/cmd/gentianlab/main.go
@@ -53,7 +53,7 @@
 			{
 				Name: "compare", Usage: "print two reports of the same load side by side", ArgsUsage: "REPORT REPORT",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "plot", Usage: "file to plot the worth of answers over time to, by request kind (.svg, .png, .pdf)"},
+					&cli.StringFlag{Name: "plot", Usage: "file to plot the worth (value) of answers over time to, by request kind (.svg, .png, .pdf)"},
 				},
 				Action: compareReports,
 			},
--- a/cmd/gentianlab/policies.go
+++ b/cmd/gentianlab/policies.go
@@ -19,7 +19,7 @@
 		Name: "policies", Usage: "simulate loads on the scheduler in virtual time under several policies",
 		ArgsUsage: "[NAME=VALUE,...]...",
 		Description: "Each argument is one policy: settings that differ from the defaults. The defaults are run\n" +
-			"first. Prints the shares in time, served and late, with 95% confidence intervals over seeds.",
+			"first. Prints the shares of requests answered in time, served at all and served late, with 95%\nconfidence intervals over seeds, and the share served among the largest tenth of the requests.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "load", Usage: "run this load only"},
 			&cli.IntFlag{Name: "seeds", Usage: "number of runs of each load and policy", Value: 10},
@@ -42,7 +42,7 @@
 				return err
 			}
 			for _, r := range experiment.SimulateRows(load, policy, c.Int("seeds")) {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatFigure(r.InTime), formatFigure(r.Served), formatFigure(r.Late), formatFigure(r.LargestTenthServed))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", load.Name, policyLabel(settings), r.Kind, formatEstimate(r.InTime), formatEstimate(r.Served), formatEstimate(r.Late), formatEstimate(r.LargestTenthServed))
 			}
 		}
 	}
@@ -70,6 +70,6 @@
 	return settings
 }
 
-func formatFigure(f experiment.Estimate) string {
-	return fmt.Sprintf("%.3f ±%.3f", f.Mean, f.HalfWidth)
+func formatEstimate(e experiment.Estimate) string {
+	return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.HalfWidth)
 }
--- a/cmd/gentianlab/rollout.go
+++ b/cmd/gentianlab/rollout.go
@@ -19,9 +19,9 @@
 		ArgsUsage: "[NAME]...",
 		Description: "Simulates roll-outs whose names begin with an argument, or all. EXPOSED is the number of\n" +
 			"requests sent to the new version as a fraction of what a bad one may get; LATE counts those\n" +
-			"sent to a bad one over 2.5 s after its fiftieth bad answer, LOST runs that ended with the old\n" +
-			"servers. BEST is the fraction of bad versions completed by the optimal test that rolls back\n" +
-			"one in 300 sound ones: a better test could at most close the gap between it and COMPLETED.",
+			"sent to a bad one over 2.5 s after its fiftieth bad answer, LOST requests that the stop of the\n" +
+			"old servers cut off and that must not be repeated. BEST is the fraction of bad versions\ncompleted by the optimal test that rolls back " +
+			"one in 300 sound ones: a better test\ncould at most close the gap between it and COMPLETED.",
 		Flags:  []cli.Flag{&cli.IntFlag{Name: "seeds", Usage: "number of runs of each roll-out", Value: 20}},
 		Action: simulateRollouts,
 	}
@@ -48,10 +48,11 @@
 	return nil
 }
 
-// boundRuns is the number of simulated runs from which the bound is computed.
+// boundRuns is the number of simulated runs from which MinMissRate is estimated.
 const boundRuns = 3000
 
-// formatBound formats the bound of a roll-out, "-" if there is none.
+// formatBound formats the smallest fraction of bad versions that a test can let complete,
+// "-" if MinMissRate has none for the scenario.
 func formatBound(scenario *experiment.Rollout) string {
 	missed, ok := experiment.MinMissRate(scenario, boundRuns)
 	if !ok {
