--- a/bench/capacity/main.go
+++ b/bench/capacity/main.go
@@ -1,6 +1,7 @@
 // Command capacity projects what a node spends on the control plane at a given fleet
 // size. It fits a line to each series of measured points in points.csv and prints
-// slope, intercept, largest error and the projections.
+// slope, intercept, largest error and the projections. A cell is the queue and
+// scheduler of one service in one region.
 package main
 
 import (
@@ -121,13 +122,13 @@
 	maxCPUPercent         = 1.5 // percent of a core
 	maxMemoryMB           = 32.0
 	maxSentBytesPerSecond = 26000.0
-	// hostsPerCell is the number of entry hosts that use one home, the host that runs
-	// the scheduler (rules.lookup.hosts_per_service).
+	// hostsPerCell is the number of entry hosts that use the home of a cell, the host
+	// that runs its scheduler (rules.lookup.hosts_per_service).
 	hostsPerCell            = 9.0
 	ledgerBytesPerID        = 200.0 // map entry, mark and pointer for a request id in a home's ledger
 	maxTableWritesPerSecond = 300.0 // conditional writes per second that the table accepts
 	maxTableReadsPerSecond  = 2000.0
-	leaseRenewalSeconds     = 1.0 // seconds between lease renewals, for cells with orders
+	leaseRenewalSeconds     = 1.0 // for cells whose home sends orders to backend servers under a lease
 )
 
 func printNode(c *cli.Command, l map[string]line, homeCPU [][2]float64) {
--- a/bench/loopback/main.go
+++ b/bench/loopback/main.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// host is one gentiand process.
+// host is one gentiand process with its caller, control and admin addresses.
 type host struct {
 	cmd                    *exec.Cmd
 	caller, control, admin string
@@ -256,7 +256,7 @@
 	_ = l.histogram.RecordValue(time.Since(begin).Microseconds())
 }
 
-// usage is what one process has used of each resource so far.
+// usage is the resource usage of one process since its start.
 type usage struct {
 	cpu      time.Duration
 	rss      int64
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -35,15 +35,16 @@
 	override(&configured.Headroom, c.Int("headroom"))
 	override(&configured.UrgentPrefill, c.Duration("urgent-prefill"))
 	override(&configured.BulkPrefill, c.Duration("bulk-prefill"))
-	noPick := core.DefaultPolicy()
-	noPick.PickCached = false
-	bareMiss := noPick
-	bareMiss.MissPrice = 1
+	// Without PickCached, the first request of a tier takes any free slot.
+	withoutPickCached := core.DefaultPolicy()
+	withoutPickCached.PickCached = false
+	withMissPriceOne := withoutPickCached
+	withMissPriceOne.MissPrice = 1
 	return []policy{
 		{"round-robin", replay.RoundRobin},
 		{"least-in-flight", replay.LeastInFlight},
-		{"queue-bare-miss", replay.Core(bareMiss)},
-		{"queue-no-pick", replay.Core(noPick)},
+		{"queue-bare-miss", replay.Core(withMissPriceOne)},
+		{"queue-no-pick", replay.Core(withoutPickCached)},
 		{"ours", replay.Core(configured)},
 	}
 }
@@ -104,6 +105,7 @@
 	return f
 }
 
+// allTiers is the maximum tier number of a trace that is not limited by tier.
 const allTiers = 9
 
 // trace generates the trace of one run with the faults and lags that the flags set.
@@ -125,7 +127,8 @@
 	return t
 }
 
-// flood generates the additional requests of account 1: n-1 times its share.
+// flood generates the additional requests of account 1: n-1 times its share, which
+// is a fifth of the rate.
 func flood(f replay.Fleet, rate float64, d time.Duration, seed uint64, n int) replay.Trace {
 	extra := f.Generate(rate/5*float64(n-1), d, seed+1000, allTiers)
 	var out replay.Trace
