--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -78,17 +78,17 @@
 	prompt       []prefix.Key
 	tokens       int // length of the prompt
 	toCompute    int // prompt tokens still to compute
-	computed     int
-	cached       int
-	repeated     int
+	computed     int // prompt tokens that the engine computes in all
+	cached       int // prompt tokens found in the cache
+	repeated     int // prompt tokens computed although another engine has them cached
 	outputTokens int
-	parts        []string
+	parts        []string // output so far, one token each
 	done         bool
 	cancelled    bool
-	partsSum     *xxhash.Digest
-	framedSum    *xxhash.Digest
-	bytes        int
-	changed      chan struct{}
+	partsSum     *xxhash.Digest // of the parts
+	framedSum    *xxhash.Digest // of the parts framed as events
+	bytes        int            // length of the parts framed as events
+	changed      chan struct{}  // closed and replaced when the stream changes
 }
 
 func (s *stream) notify() {
@@ -126,8 +126,8 @@
 	events      []cacheEvent
 	eventSeq    uint64
 	loads       []loadSnapshot
-	fence       uint64
-	state       string
+	fence       uint64 // newest fencing number seen
+	state       string // set by the last order
 	wakeUp      chan struct{}
 }
 
@@ -250,6 +250,7 @@
 	e.publish(k, false)
 }
 
+// publish appends a cache event, but drops every DropEvery-th one.
 func (e *Engine) publish(k prefix.Key, evicted bool) {
 	e.eventSeq++
 	if e.opt.DropEvery > 0 && e.eventSeq%uint64(e.opt.DropEvery) == 0 {
@@ -384,8 +385,9 @@
 	return out
 }
 
-// applyOrder applies an order. With ChecksFencing it refuses orders whose fencing
-// number is older than the newest one seen.
+// applyOrder applies an order of the home, which sets the server's state. With
+// ChecksFencing it refuses orders whose fencing number is older than the newest one
+// seen.
 func (e *Engine) applyOrder(fence uint64, state string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -85,11 +85,12 @@
 	}
 }
 
-// Prompt makes a prompt of a shared prefix and an unshared part of own tokens.
-func (w Work) Prompt(prefixIndex, own int, salt string) string {
+// Prompt makes a prompt of a shared prefix and an unshared part of unsharedTokens tokens,
+// which repeats salt.
+func (w Work) Prompt(prefixIndex, unsharedTokens int, salt string) string {
 	var b strings.Builder
 	padTo(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, prefixIndex), w.PrefixTokens*prefix.BytesPerToken)
-	padTo(&b, salt+" ", (w.PrefixTokens+own)*prefix.BytesPerToken)
+	padTo(&b, salt+" ", (w.PrefixTokens+unsharedTokens)*prefix.BytesPerToken)
 	return b.String()
 }
 
@@ -110,7 +111,7 @@
 		}
 		return req
 	}
-	u := rng.Float64()
+	u := rng.Float64() // squared below, so that low prefix indexes are more frequent
 	prefixIndex := int(float64(w.PrefixCount) * u * u)
 	return &caller.Request{
 		Kind: w.Kind, Prompt: w.Prompt(prefixIndex, vary(rng, w.UnsharedTokens), strconv.FormatUint(rng.Uint64(), 36)),
