--- a/bench/capacity/main.go
+++ b/bench/capacity/main.go
@@ -43,7 +43,7 @@
 
 // line is a straight line fitted to measured points.
 type line struct {
-	slope, intercept, maxRelativeError float64 // maxRelativeError is the largest error relative to the measured value
+	slope, intercept, maxRelativeError float64 // the error is relative to the measured value
 	n                                  int
 }
 
--- a/cmd/gentianctl/platform.go
+++ b/cmd/gentianctl/platform.go
@@ -16,7 +16,7 @@
 
 // platformCommand has the commands for gentianhost, the daemon for the prepared
 // platform: they check its settings and configuration before it reads them, and
-// manage the quarantined requests and roll-outs in the platform's store.
+// manage the quarantined requests and rollouts in the platform's store.
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name: "platform", Usage: "check host files for the prepared platform; manage quarantined requests and roll-outs",
--- a/cmd/gentianlab/load.go
+++ b/cmd/gentianlab/load.go
@@ -27,7 +27,7 @@
 
 // loader sends a load to the entry hosts. mu guards addresses and report.
 type loader struct {
-	lookupAddresses []string // where hosts serve look-ups
+	lookupAddresses []string // where hosts serve lookups
 	caller          *standin.Caller
 	load            lab.Load
 	mu              sync.Mutex
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// readLookupAddresses reads the hosts' look-up addresses from the settings files in
+// readLookupAddresses reads the hosts' lookup addresses from the settings files in
 // dir.
 func (l *loader) readLookupAddresses(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.conf"))
@@ -154,7 +154,7 @@
 	}
 }
 
-// run sends each request at its time and repeats the look-up as callers do.
+// run sends each request at its time and repeats the lookup as callers do.
 func (l *loader) run(ctx context.Context, requests []lab.Request) {
 	var calls sync.WaitGroup
 	start := time.Now()
@@ -194,7 +194,7 @@
 }
 
 // classify returns how a request ended for its caller, and its latency: until the
-// first byte for requests with a prompt, until the whole answer for others.
+// first byte for requests with a prompt, until the complete answer for others.
 func classify(kind lab.Kind, call standin.Call, reply standin.Reply) (lab.End, time.Duration) {
 	latency := reply.Duration
 	if call.Prompt > 0 {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -188,5 +188,6 @@
 	e := failure.From(err)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Status())
-	_ = json.NewEncoder(w).Encode(ErrorReply{Code: e.Code, Message: e.Message}) // the operator may have disconnected
+	// The error is ignored: the operator may have disconnected.
+	_ = json.NewEncoder(w).Encode(ErrorReply{Code: e.Code, Message: e.Message})
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -24,7 +24,7 @@
 	Allowed func() bool
 }
 
-// Part is one event of a model engine's stream, or the whole answer of a plain
+// Part is one event of a model engine's stream, or the complete answer of a plain
 // service. Index counts the parts from 0.
 type Part struct {
 	Index int
--- a/internal/backend/transport.go
+++ b/internal/backend/transport.go
@@ -33,8 +33,8 @@
 // newTransport returns a transport that opens a new connection for each request.
 //
 // A reused connection whose state a middlebox has lost accepts a request but
-// does not deliver it. Since bytes were written, the caller can only be told
-// that the outcome is unknown. The handshake of a new connection proves that it
+// does not deliver it. Since bytes were written, the outcome must be reported to
+// the caller as unknown. The handshake of a new connection proves that it
 // works, at the cost of one round trip.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: connectTimeout}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -99,8 +99,8 @@
 	return n, err
 }
 
-// reply is the record of a request, whose answer is sent from an offset, as a
-// stream or as one response.
+// reply is the record of a request whose answer is sent from an offset, as a stream
+// or as one response.
 type reply struct {
 	record *holder.Record
 	offset int
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -33,7 +33,7 @@
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Token       ident.RequestID   `json:"token"` // unique per claim
 	Server      ident.ServerID    `json:"server"`
-	Expires     time.Time         `json:"expires"` // used by the platform's clean-up
+	Expires     time.Time         `json:"expires"` // used by the platform's cleanup
 }
 
 // Result is the outcome of a claim. Err is set if the outcome is unknown; the request must not
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -105,7 +105,7 @@
 type Tier struct {
 	Number   int      `yaml:"number" validate:"gte=1,lte=9"`
 	Name     string   `yaml:"name" validate:"required"`
-	Deadline Duration `yaml:"deadline" validate:"gt=0"` // for the whole answer, unless the request kind sets its own
+	Deadline Duration `yaml:"deadline" validate:"gt=0"` // for the complete answer, unless the request kind sets its own
 }
 
 // RequestKind is a class of calls to a service.
@@ -117,7 +117,7 @@
 	NonIdempotent bool     `yaml:"non_idempotent,omitempty"`
 }
 
-// LookupRules control the answers of the address look-up, by which callers find
+// LookupRules control the answers of the address lookup, by which callers find
 // the entry hosts of a service.
 type LookupRules struct {
 	TTL             Duration `yaml:"ttl,omitempty" validate:"gte=0"`               // how long callers cache an answer; 0 means 5s
@@ -130,7 +130,7 @@
 	Waiting      int      `yaml:"waiting,omitempty" validate:"gte=0"`       // queue length of a service; 0 means 10,000
 	HeldBytes    int      `yaml:"held_bytes,omitempty" validate:"gte=0"`    // total of bodies and answers on one host; 0 means 256 MiB
 	Horizon      Duration `yaml:"horizon,omitempty" validate:"gte=0"`       // how long request ids are retained; 0 means 120s
-	ReadTimeout  Duration `yaml:"read_timeout,omitempty" validate:"gte=0"`  // for a whole request body; 0 means 10s
+	ReadTimeout  Duration `yaml:"read_timeout,omitempty" validate:"gte=0"`  // for a complete request body; 0 means 10s
 	ClaimHorizon Duration `yaml:"claim_horizon,omitempty" validate:"gte=0"` // how long claim rows are retained; 0 means 24h
 }
 
--- a/internal/configsync/pointer.go
+++ b/internal/configsync/pointer.go
@@ -22,7 +22,8 @@
 const rowKey = "config/current"
 
 // maxChanges is the maximum number of changes that the version row lists. A change whose answer
-// was lost can be told from a lost race while fewer than this many changes have followed it.
+// was lost can be distinguished from a lost race while fewer than this many changes have
+// followed it.
 const maxChanges = 32
 
 // Change is one accepted change.
--- a/internal/experiment/bound.go
+++ b/internal/experiment/bound.go
@@ -95,7 +95,7 @@
 
 // answerSample is one simulated answer.
 type answerSample struct {
-	at      time.Duration // time since the roll-out order
+	at      time.Duration // time since the rollout order
 	route   int
 	failed  bool
 	logTime float64 // logarithm of the response time relative to a sound answer
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -1,4 +1,4 @@
-// Package experiment simulates loads and roll-outs with the real scheduler and emulated
+// Package experiment simulates loads and rollouts with the real scheduler and emulated
 // servers in virtual time, and compares scheduling policies over many seeds. A Load is
 // simulated by Simulate, a Rollout by SimulateRollout; each simulation owns its scheduler.
 package experiment
--- a/internal/experiment/load_test.go
+++ b/internal/experiment/load_test.go
@@ -18,7 +18,7 @@
 const seeds = 8
 
 // minServedBySize is the smallest share that must be served of each tenth of a kind by size, as
-// a fraction of the share of the whole kind.
+// a fraction of the share of the entire kind.
 const minServedBySize = 0.6
 
 // The kinds of the loads, most urgent first.
@@ -85,7 +85,7 @@
 
 var _ = Describe("an overload in which the answers of a kind differ greatly in length", func() {
 	// Long answers of the least urgent kind are delayed, then too late, then refused twice. In
-	// every burst the largest tenth was served less than half as often as the whole kind,
+	// every burst the largest tenth was served less than half as often as the entire kind,
 	// because a priority queue served short answers first and reserved nothing for long ones.
 	//
 	// Bound: no size class of a kind may be served so much less than the others that its callers
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -26,7 +26,7 @@
 
 func (b BadVersion) bad() bool { return b.FailShare > 0 || b.Slowdown > 1 }
 
-// Rollout describes the simulation of a roll-out: a service with old and new servers, its
+// Rollout describes the simulation of a rollout: a service with old and new servers, its
 // requests, and faults that are independent of the version. The order is the operator's order to
 // move the service from the old version to the new one.
 type Rollout struct {
@@ -63,7 +63,7 @@
 	{"confirm", 0.6, 30 * time.Millisecond, false},
 }
 
-// RolloutResult is the result of one simulated roll-out.
+// RolloutResult is the result of one simulated rollout.
 type RolloutResult struct {
 	State    rollout.State
 	Took     time.Duration // time from the order to the decision
@@ -85,7 +85,7 @@
 }
 
 const (
-	// orderAt is the time of the roll-out order, after the service has run for a while.
+	// orderAt is the time of the rollout order, after the service has run for a while.
 	orderAt = 3 * time.Second
 	// A bad version must get no more requests maxReactionTime after its badAnswerLimit-th bad
 	// answer.
@@ -111,7 +111,7 @@
 	stopped    bool
 }
 
-// rolloutSimulation is one run of a roll-out in virtual time.
+// rolloutSimulation is one run of a rollout in virtual time.
 type rolloutSimulation struct {
 	r          *Rollout
 	scheduler  *sched.Scheduler
@@ -124,7 +124,7 @@
 	started    int           // number of servers started
 	badAnswers int           // of the new version
 	badLimitAt time.Duration // time of the badAnswerLimit-th bad answer; 0 before
-	decided    bool          // the roll-out was completed or rolled back
+	decided    bool          // the rollout was completed or rolled back
 	result     RolloutResult
 }
 
@@ -136,7 +136,7 @@
 	ended  bool // answered or cut off
 }
 
-// SimulateRollout simulates a roll-out. The same seed gives the same result.
+// SimulateRollout simulates a rollout. The same seed gives the same result.
 func SimulateRollout(r *Rollout, seed uint64) RolloutResult {
 	sim := &rolloutSimulation{
 		r: r, scheduler: sched.New(sched.DefaultPolicy()), rng: rand.New(rand.NewPCG(seed, 11)),
@@ -276,7 +276,7 @@
 	}
 }
 
-// processSteps records the scheduler's decision to complete the roll-out or to roll it back.
+// processSteps records the scheduler's decision to complete the rollout or to roll it back.
 func (sim *rolloutSimulation) processSteps(now time.Duration) {
 	for _, step := range sim.scheduler.TakeRolloutSteps() {
 		if sim.decided || step.Phase != rollout.Moved && step.Phase != rollout.PhaseRolledBack {
@@ -408,7 +408,7 @@
 	sim.processSteps(now)
 }
 
-// Rollouts returns all roll-outs, sorted by name: sound versions, with and without faults that
+// Rollouts returns all rollouts, sorted by name: sound versions, with and without faults that
 // affect both versions, and versions with each kind of defect.
 func Rollouts() []*Rollout {
 	// Three plain servers at 250 calls a second, and thirty at 2,000.
@@ -448,7 +448,7 @@
 	return out
 }
 
-// RolloutSummary summarizes many runs of one roll-out.
+// RolloutSummary summarizes many runs of one rollout.
 type RolloutSummary struct {
 	Runs                           int
 	Completed, RolledBack, Running int
@@ -458,7 +458,7 @@
 	Late, Lost                     int           // sums of RolloutResult.Late and Lost
 }
 
-// SimulateRollouts simulates a roll-out with the seeds from 0 to seeds-1 on all processors.
+// SimulateRollouts simulates a rollout with the seeds from 0 to seeds-1 on all processors.
 func SimulateRollouts(r *Rollout, seeds int) RolloutSummary {
 	results := make([]RolloutResult, seeds)
 	var running sync.WaitGroup
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -14,7 +14,7 @@
 // Outcome is what a final answer states about its request.
 type Outcome string
 
-// The outcomes. Answered comes with the whole answer, NotRun is stated only
+// The outcomes. Answered comes with the complete answer, NotRun is stated only
 // with proof that the request did not run, and Unknown whenever proof is
 // missing.
 const (
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -37,7 +37,7 @@
 	Body     string        `yaml:"body"`
 	Prompt   Size          `yaml:"prompt"` // tokens; none for a plain call
 	Output   Size          `yaml:"output"` // tokens
-	Aim      time.Duration `yaml:"aim"`    // latency target of the first event, or of the whole answer of a plain call
+	Aim      time.Duration `yaml:"aim"`    // latency target of the first event, or of the complete answer of a plain call
 	Deadline time.Duration `yaml:"deadline"`
 	Worth    float64       `yaml:"worth"` // value of an answer in time; a late answer counts LateWorth times this
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -88,7 +88,8 @@
 	r.Kinds[q.Kind].Ends[end]++
 	r.Seconds[q.Kind][int(q.At.Seconds())].Ends[end]++
 	if end == InTime || end == Late {
-		_ = r.Kinds[q.Kind].latencies.RecordValue(min(maxLatencyMS, max(1, latency.Milliseconds()))) // the value is within the histogram's bounds
+		// The error is ignored: the value is within the histogram's bounds.
+		_ = r.Kinds[q.Kind].latencies.RecordValue(min(maxLatencyMS, max(1, latency.Milliseconds())))
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform defines what the system needs of the platform: the transactional table
+// Package platform defines what the system needs from the platform: the transactional table
 // service, the object store and the host list. Each is a small interface with one adapter in
 // package httpplatform; another platform needs only another adapter.
 package platform
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -37,7 +37,7 @@
 	Prefix         string // begins and ends with a slash
 	Kind           Kind
 	Timeout        time.Duration // longest that a caller waits
-	LatencyTarget  time.Duration // for the first event of a stream or the whole answer of a plain call
+	LatencyTarget  time.Duration // for the first event of a stream or the complete answer of a plain call
 	EventGapTarget time.Duration // longest pause between events that is on time
 	CallerTimeout  time.Duration // how long a stream's caller waits for an event, 0: until its deadline
 	Priority       int           // 0 is the most urgent
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -110,8 +110,9 @@
 })
 
 var _ = Describe("waiting for the first configuration", func() {
-	// After a power loss of the whole fleet, callers of the first half second were told to
-	// retry after seconds, although each host had its configuration 0.3 s later.
+	// After a power loss of the whole fleet, callers of the first half second were
+	// refused with a retry time of seconds, although each host had its configuration 0.3 s
+	// later.
 	It("ends when it is in force", func() {
 		var c CurrentTable
 		time.AfterFunc(20*time.Millisecond, func() { c.Replace(NewTable(Config{Version: 3})) })
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,7 +24,7 @@
 	Platform         string        // base URL of the platform's services
 	PlatformTimeout  time.Duration // timeout of one call to the platform
 	Seeds            []string      // control addresses of other hosts
-	TimelineSize     int           // number of events in the time line
+	TimelineSize     int           // number of events in the timeline
 	DrainLimit       time.Duration // longest wait for requests in progress when draining; 0: no limit
 	LogFormat        string        // logfmt or json
 	AdminToken       string        // bearer token required of operators; empty: none
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -400,7 +400,7 @@
 	return true
 }
 
-// textOf returns the text of a whole answer of n parts to the request with this id.
+// textOf returns the text of a complete answer of n parts to the request with this id.
 func textOf(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -203,5 +203,5 @@
 	reply(w, struct{}{})
 }
 
-// WholeText returns the text of the whole answer that an engine makes for an id.
+// WholeText returns the text of the complete answer that an engine makes for an id.
 func WholeText(id string, parts int) string { return strings.Clone(textOf(id, parts)) }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Prompt makes a prompt of a shared prefix and an unshared part of unsharedTokens tokens,
-// which repeats salt.
+// Prompt makes a prompt from a shared prefix and an unshared part of unsharedTokens tokens
+// that repeats salt.
 func (w Work) Prompt(prefixIndex, unsharedTokens int, salt string) string {
 	var b strings.Builder
 	padTo(&b, fmt.Sprintf("%s-%s-%d ", w.Service, w.Kind, prefixIndex), w.PrefixTokens*prefix.BytesPerToken)
--- a/internal/store/relayed.go
+++ b/internal/store/relayed.go
@@ -65,12 +65,12 @@
 	stream             *peer.Stream
 	pauses             map[string]pause // by reader that is not asked for a while
 	nextOwnRead        time.Time        // when this follower may read the store next, zero if not scheduled
-	storeFailedAt      time.Time        // when the store last failed to answer this host, zero if it answered since
+	storeFailedAt      time.Time        // last failed call to the store, zero if it answered since
 	roundsBetweenReads int              // rounds from one read of the store to the next
 	newestVersion      int64            // newest version seen; a relay may be behind
 	lastAnswer         time.Time        // when the store last answered this host or its reader
 	lastConfirmed      time.Time        // latest time at which the store has certainly answered
-	interrupted        bool             // a call to the store failed or the followed reader was lost since the newest answer
+	interrupted        bool             // since the newest answer, the store failed or the followed reader was lost
 	gap                time.Duration    // outage of the store before the newest answer
 	answeredBy         string           // the reader that gave the newest answer, empty for the store
 	lastOutageEnd      time.Time        // end of the newest outage that a relay reported
--- a/internal/store/relays.go
+++ b/internal/store/relays.go
@@ -56,7 +56,8 @@
 		if role := role(); role != Follower {
 			reply = s.answer(ctx, call, role)
 		}
-		_ = st.SetWriteDeadline(time.Now().Add(relayMargin)) // fails only on a closed stream, as Write then does
+		// Fails only on a closed stream, as Write then does.
+		_ = st.SetWriteDeadline(time.Now().Add(relayMargin))
 		if wire.Write(st, reply) != nil {
 			return
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,7 +28,7 @@
 )
 
 // Pool keeps idle connections to backend servers and bounds their number. The number of
-// connections in use is bounded by the placements that the scheduler gives. mu guards
+// connections in use is bounded by the placements that the scheduler grants. mu guards
 // idle.
 type Pool struct {
 	mu   sync.Mutex
--- a/test/platform/fail_test.go
+++ b/test/platform/fail_test.go
@@ -31,8 +31,8 @@
 
 var _ = Describe("hosts that fail", func() {
 	// Each host in turn is killed under load, including the home, the host that runs the
-	// scheduler. A request that ran must not run again, and no caller may be told that it
-	// did not run.
+	// scheduler. A request that ran must not run again, and must not be reported to its
+	// caller as not run.
 	It("keep their promises while every host is killed in turn", func() {
 		s := newSite(siteOptions{hosts: 4, engines: 3, apps: 2})
 		s.duringLoad(10*time.Millisecond, func() {
--- a/test/platform/join_test.go
+++ b/test/platform/join_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("hosts that start", func() {
 	// Hosts are killed and restart. If each of them reads the hosts, the configuration and the
 	// servers from the store and writes a row of its own, a restart of half of several
-	// hundred hosts keeps the store busy for seconds, and each call is paid for. This happens
+	// hundred hosts keeps the store busy for seconds, and each call is billed. This happens
 	// when a starting host can ask nothing but the store.
 	It("get their state from running hosts, not from the store", func() {
 		s := newSite(siteOptions{hosts: 6, engines: 1, apps: 1, largeFirst: true})
--- a/test/platform/serve_test.go
+++ b/test/platform/serve_test.go
@@ -128,8 +128,8 @@
 		Expect(s.runsOf(r.Attempt)).To(HaveLen(1))
 	})
 
-	// A confirmation runs and its answer is lost. If the caller were told that it did not run,
-	// it would send it again and two callers could be confirmed for one item.
+	// A confirmation runs and its answer is lost. If it were reported as not run, the caller
+	// would send it again and two callers could be confirmed for one item.
 	It("neither retries a lost confirmation nor reports it as not run, and retries a lost check", func() {
 		s := newSite(siteOptions{hosts: 1, engines: 1, apps: 2})
 		s.servers[1].SetFault(standin.Fault{LoseAnswer: true})
--- a/test/platform/site_test.go
+++ b/test/platform/site_test.go
@@ -103,7 +103,7 @@
 	engine               standin.ServerSpec // defaults where zero
 	proxied              bool               // servers and store are behind proxies
 	largeFirst           bool               // the first host is larger and therefore the home
-	large                int                // number of first hosts that are larger: the home and the readers of the store
+	large                int                // number of larger hosts, the first ones: the home and the readers
 	ownStores            bool               // each host reaches the store through a proxy of its own
 }
 
--- a/test/platform/soak_test.go
+++ b/test/platform/soak_test.go
@@ -202,8 +202,8 @@
 	return fmt.Sprint("version ", k.config.Version)
 }
 
-// changeAccounts gives the small client account another quota and the large one another key
-// besides its own.
+// changeAccounts gives the small client account another quota and the large one a second key
+// in addition to its own.
 func (k *soak) changeAccounts() string {
 	rate := 500 * (1 + k.rng.IntN(8))
 	k.config.Tenants[1]["ratePerS"] = rate
