--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -215,7 +215,7 @@
 
 var _ = Describe("an id that its holder registers again", func() {
 	// A host has lost its record of an id that ran, and accepts a resend of it as
-	// a new request. It must be told where the answer is; otherwise it would wait
+	// a new request. It must learn where the answer is; otherwise it would wait
 	// until it reports that nothing ran.
 	It("is attached to the server on which an older attempt ran", func() {
 		f := newFixture(100, singleSlotServer)
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -264,7 +264,7 @@
 }
 
 // candidate returns the request that s would take regardless of deadlines. With
-// ServerPicks, the order is:
+// PickCached, the order is:
 //
 //  1. an aged request whose prefix no server has cached, within the server's
 //     miss budget and if no request of 2 has an earlier start tag;
@@ -316,7 +316,7 @@
 	return nil
 }
 
-// first returns the request with the earliest start tag of the whole tier.
+// first returns the request with the earliest start tag in the tier.
 func (q *tierQueue) first() *item {
 	var best *item
 	for _, it := range q.shedOrder.items {
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -11,17 +11,17 @@
 	// EvictPrice multiplies the compute time of the shared prefixes that a
 	// miss would evict from a server's cache.
 	EvictPrice float64
-	// PriceShare limits the sum of both prices to a share of the time left
+	// MaxPriceShare limits the sum of both prices to a share of the time left
 	// until the request's deadline. This limits how long a request waits for a
 	// server that has its prefix cached rather than have it computed again.
 	MaxPriceShare float64
-	// ServerPicks lets a server with a free slot choose a waiting request whose
+	// PickCached lets a server with a free slot choose a waiting request whose
 	// prefix it has cached. Without it, the first request of a tier takes any
 	// free slot.
 	PickCached bool
-	// AgeShare is the share of the time from arrival to deadline after which a
-	// request whose prefix no server has cached goes ahead of others.
-	// HeldAgeShare is the share after which any server may take a request that
+	// UncachedAgeShare is the share of the time from arrival to deadline after
+	// which a request whose prefix no server has cached goes ahead of others.
+	// CachedAgeShare is the share after which any server may take a request that
 	// has waited for the servers that have its prefix cached.
 	UncachedAgeShare float64
 	CachedAgeShare   float64
@@ -67,8 +67,8 @@
 	// MaxStampAge is the age of a holder's newest stamp from which on the home
 	// grants nothing to it, because a grant would expire soon after arrival.
 	MaxStampAge = 1 * time.Second
-	// MoveHold is how long a holder that leaves a home without Left waits
-	// before it uses grants of another home. A holder whose end is proved
+	// MoveHold is how long a holder that leaves a home without HolderLeft
+	// waits before it uses grants of another home. A holder whose end is proved
 	// within MoveHold of its last stamp can't have been granted anything
 	// elsewhere, so the home's ledger covers it.
 	MoveHold = 2 * time.Second
--- a/internal/core/property_test.go
+++ b/internal/core/property_test.go
@@ -313,7 +313,7 @@
 	h.lastStamp = m.now
 }
 
-// leave queues a Left. Events that were queued on the session before are
+// leave queues a HolderLeft. Events that were queued on the session before are
 // delivered first.
 func (m *model) leave(t *rapid.T) {
 	h := drawFrom(t, "holder", m.liveHolders(func(h *modelHolder) bool { return h.homeAlive() && !m.homes[1-h.home].dead }))
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -12,7 +12,7 @@
 	startTag float64 // start tag of start-time fair queuing, in seconds of work
 	seq      uint64  // order of arrival, breaks ties
 	group    *group
-	aged     bool // see the terms of the package
+	aged     bool // see the terms in the package comment
 	timerAt  Time // next timer: aging, then the latest start
 
 	groupIndex, shedIndex, timerIndex int // indexes in the heaps, -1 outside
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -74,8 +74,8 @@
 }
 
 // age marks a request as aged, so that any server may take it. A request whose
-// prefix has been cached since its timer was set first waits until HeldAgeShare
-// of its time has passed.
+// prefix has been cached since its timer was set first waits until
+// CachedAgeShare of its time has passed.
 func (c *Cell) age(it *item, latest Time) {
 	if at := c.agesAt(it, len(it.group.cachingServers) > 0); c.now < at {
 		it.timerAt = min(at, latest)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -145,23 +145,23 @@
 		Stamp   Stamp
 		Entries []LedgerEntry
 	}
-	// Heard is a heartbeat of a holder on its session.
+	// Heartbeat is a heartbeat of a holder on its session.
 	Heartbeat struct {
 		Holder ident.Incarnation
 		Stamp  Stamp
 	}
-	// Left says that a holder ends its session to move to another home.
+	// HolderLeft says that a holder ends its session to move to another home.
 	HolderLeft struct{ Holder ident.Incarnation }
-	// Gone says that a holder's session broke or that membership lost it.
+	// HolderLost says that a holder's session broke or that membership lost it.
 	// Proved is set when its process is known to have ended: its port refuses
 	// connections, or a newer incarnation answers at its address.
 	HolderLost struct {
 		Holder ident.Incarnation
 		Proved bool
 	}
-	// Inherit is the ledger of the previous home, which hands it over when
-	// another host becomes the home. Covered lists the ended holders that the
-	// ledger covers.
+	// LedgerHandover is the ledger of the previous home, which hands it over
+	// when another host becomes the home. Covered lists the ended holders that
+	// the ledger covers.
 	LedgerHandover struct {
 		Entries []LedgerEntry
 		Covered []ident.Incarnation
@@ -273,10 +273,10 @@
 	Shed
 	// Revoke asks To to give ID up, or to report where it was dispatched.
 	Revoke
-	// Attach tells To that Holder has or had ID, and which Server it was
+	// Attach informs To that Holder has or had ID, and which Server it was
 	// granted to; 0 if none is known.
 	Attach
-	// Unproved tells To that it can't be proved whether ID ran.
+	// Unproved informs To that it can't be proved whether ID ran.
 	Unproved
 	// ServerChanged is for the log only: the state of Server is now State.
 	ServerChanged
--- a/internal/dispatch/follower_test.go
+++ b/internal/dispatch/follower_test.go
@@ -142,9 +142,10 @@
 	})
 })
 
-// For every split of a fleet between a home, a host that takes over and standalone hosts, their
-// shares of an account's quota add up to at most the quota plus two tenths, which rounding the
-// shares may add. The old home uses the whole quota until it notices that hosts have left it.
+// TestPartsOfQuotas checks for every split of a fleet between a home, a host that takes over and
+// standalone hosts that their shares of an account's quota add up to at most the quota plus two
+// tenths, which rounding the shares may add. The old home uses the whole quota until it notices
+// that hosts have left it.
 func TestPartsOfQuotas(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -171,9 +172,10 @@
 	})
 }
 
-// For every split of a fleet, from the moment of the split, the home, the next home and the
-// standalone hosts together send at most 1.4 times the rate limit that a server states. With
-// their bursts this stays below one and a half times the limit, at which a server is overloaded.
+// TestPartsOfLimits checks for every split of a fleet that, from the moment of the split, the home,
+// the next home and the standalone hosts together send at most 1.4 times the rate limit that a
+// server states. With their bursts this stays below one and a half times the limit, at which a
+// server is overloaded.
 func TestPartsOfLimits(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -223,7 +223,7 @@
 
 var _ = Describe("a local placement while the home does not answer", func() {
 	// A slow home is repeatedly considered unresponsive. Each time the hosts use their shares
-	// of a quota while the home uses the whole, and the account exceeds its quota by a
+	// of a quota while the home uses all of it, and the account exceeds its quota by a
 	// twentieth.
 	It("is charged to the account when the host follows a home again", func() {
 		c, placement := placeLocally()
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -64,7 +64,7 @@
 	revocation      *dispatch.Refused // why the placement was revoked; phase guards it
 }
 
-// The phases of an attempt. Whoever changes the phase from inProgress decides how the
+// The phases of an attempt. The goroutine that changes the phase from inProgress decides how the
 // connection ends.
 const (
 	inProgress int32 = iota
--- a/internal/holder/answer.go
+++ b/internal/holder/answer.go
@@ -123,7 +123,7 @@
 }
 
 // LengthAndChecksum returns the length and xxh64 checksum of the bytes received so far.
-// They are those of the whole answer once it has ended without an error.
+// They are those of the complete answer once it has ended without an error.
 func (a *Answer) LengthAndChecksum() (length int, sum uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -35,7 +35,7 @@
 	"github.com/gentianflow/gentianflow/internal/peer"
 )
 
-// Sources are the components that a Holder depends on.
+// Dependencies are the components that a Holder depends on.
 type Dependencies struct {
 	Members  *member.Table
 	Config   *configsync.Syncer
--- a/internal/holder/record.go
+++ b/internal/holder/record.go
@@ -118,7 +118,7 @@
 	return r.machine.State()
 }
 
-// Follow adds a reader; the returned function removes it.
+// AddReader adds a reader; the returned function removes it.
 func (r *Record) AddReader() (leave func()) {
 	r.mu.Lock()
 	r.readers++
--- a/internal/home/manager.go
+++ b/internal/home/manager.go
@@ -29,13 +29,13 @@
 // holders that have not moved yet.
 const closeGrace = 3 * time.Second
 
-// Sources are the components that a Manager depends on.
+// Dependencies are the components that a Manager depends on.
 type Dependencies struct {
 	Members *member.Table
 	Config  *configsync.Syncer
 	Peers   *peer.Manager
-	// Watch is the HTTP transport for reading the reports of backend servers and
-	// for ordering their states.
+	// ServerTransport is the HTTP transport for reading the reports of backend
+	// servers and for ordering their states.
 	ServerTransport http.RoundTripper
 	// Table stores the leases under which orders are sent to backend servers.
 	Table platform.Table
--- a/internal/node/propagation_test.go
+++ b/internal/node/propagation_test.go
@@ -57,9 +57,10 @@
 	}
 }
 
-// A server that has left must not get work for long. The store refuses the calls of all its
-// readers and of a third of the other hosts, or does not answer them, while it serves the
-// remaining hosts. Servers drain or delete their entries during the outage and after it.
+// TestServersThatLeaveWhileTheReadersAreTurnedAway checks that a server that has left does not get
+// work for long. The store refuses the calls of all its readers and of a third of the other hosts,
+// or does not answer them, while it serves the remaining hosts. Servers drain or delete their
+// entries during the outage and after it.
 func TestServersThatLeaveWhileTheReadersAreTurnedAway(t *testing.T) {
 	for _, how := range []availability{silent, refused} {
 		for _, hosts := range fleetSizes {
@@ -86,8 +87,9 @@
 	}
 }
 
-// A server that has left must not get work for long while the home is frozen, alone or with the
-// next readers: the other hosts wait for its updates and fail to connect to it.
+// TestServersThatLeaveWhileReadersStandStill checks that a server that has left does not get work
+// for long while the home is frozen, alone or with the next readers: the other hosts wait for its
+// updates and fail to connect to it.
 func TestServersThatLeaveWhileReadersStandStill(t *testing.T) {
 	for _, hosts := range fleetSizes {
 		for frozenHosts := 1; frozenHosts <= 3; frozenHosts++ {
@@ -142,9 +144,10 @@
 	return home, connected
 }
 
-// A server that has left must not get work for long in a sequence of outages that affect random
-// parts of the fleet: a third to a half of the hosts get no answer from the store or are refused,
-// or some readers are frozen.
+// TestServersThatLeaveInRandomOutages checks that a server that has left does not get work for long
+// in a sequence of outages that affect random parts of the fleet: a third to a half of the hosts get
+// no answer from the store or are refused, or some readers are frozen.
+//
 // PROPAGATION_SEEDS is the number of seeds to run. Without it the test runs seed 0 and the
 // seeds that failed before.
 func TestServersThatLeaveInRandomOutages(t *testing.T) {
@@ -224,9 +227,9 @@
 	return unavailable
 }
 
-// A fleet must not lose its servers in an outage of the store. The store fails for all hosts,
-// the entries of live servers expire meanwhile, and they are written again within two seconds
-// after the outage.
+// TestServersWhoseEntriesLapseInAnOutage checks that a fleet does not lose its servers in an outage
+// of the store. The store fails for all hosts, the entries of live servers expire meanwhile, and
+// they are written again within two seconds after the outage.
 func TestServersWhoseEntriesLapseInAnOutage(t *testing.T) {
 	for _, how := range []availability{silent, refused} {
 		for _, hosts := range fleetSizes {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -20,7 +20,7 @@
 	// of a few seconds costs few calls.
 	maxRolloutRetry = 2 * time.Second
 	// minCommandInterval is the shortest time between two reads of operators' commands (to
-	// pause, resume or take back a rollout). commandIntervalShare is that time as a fraction of the
+	// pause, resume or roll back a rollout). commandIntervalShare is that time as a fraction of the
 	// rollout's duration, so that each rollout takes a handful of calls.
 	minCommandInterval   = 3 * time.Second
 	commandIntervalShare = 0.15
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -97,8 +97,8 @@
 	})
 
 	// A server reports that it is leaving, crashes, and starts again under its name. If the
-	// state of its old incarnation counted for the new one, callers would wait forever beside
-	// an idle server.
+	// state of its old incarnation counted for the new one, callers would wait forever while
+	// a server is idle.
 	It("give a new incarnation for a server that starts again under its name", func() {
 		s.update(store.Update{Rows: []store.Row{row("a", "1 draining")}})
 		Expect(s.Leaving("a@1")).To(BeTrue())
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -112,8 +112,8 @@
 // attributedEnds lists the ends that are attributed to a request, and counts the separate causes
 // among them.
 //
-// Ordinary requests run beside a poison request in the other slots of its server, and some of
-// their retries run beside it again. The poison request is present at each of these ends, so the
+// Ordinary requests run next to a poison request in the other slots of its server, and some of
+// their retries run next to it again. The poison request is present at each of these ends, so the
 // more ends it has seen, the fewer of them are attributed to others. Servers also end for other
 // reasons: racks fail one after the other, with hundreds of requests, a few of which are present
 // each time.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -4,7 +4,7 @@
 //
 // The state of a Table is a set of facts of the form "this request was running on that server
 // when it ended". Facts from several hosts are merged as sets, so neither their order nor
-// duplicates matter. Table.Judge derives the cause from the facts anew each time. A request that
+// duplicates matter. Table.Judge derives the cause from the facts each time. A request that
 // succeeds anywhere is no poison request, and its facts are dropped. A Record carries the facts
 // about a request to other hosts, a Row those about a quarantined one to the store.
 //
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -64,7 +64,7 @@
 		Expect(t.RetryIn(5*time.Second, poison)).To(Equal(initialQuarantine))
 	})
 
-	// An ordinary request is cut off when its server ends, and each retry runs beside the poison
+	// An ordinary request is cut off when its server ends, and each retry runs next to the poison
 	// request again, since one server is left for all. It is present at all ends but the first
 	// and must not be taken for the cause.
 	It("does not quarantine a request whose retries run beside the poison request", func() {
--- a/internal/sched/fatal_load_test.go
+++ b/internal/sched/fatal_load_test.go
@@ -26,9 +26,9 @@
 	listedAfterEnd     = 3600 * ms // after the engine's end
 	restartDelay       = 3 * time.Second
 	maxPoisonDelay     = 400 * ms // from the placement to the engine's end
-	// After a request has ended three servers, detectionTime is the time until it must be
-	// detected; maxLateSends is how often it may still be sent later than that, as its detection
-	// may need that many more ends.
+	// detectionTime is the time until a request that has ended three servers must be detected;
+	// maxLateSends is how often it may still be sent later than that, as its detection may need
+	// that many more ends.
 	detectionTime = 3 * time.Second
 	maxLateSends  = 3
 )
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -41,9 +41,9 @@
 	return reqs
 }
 
-// metBy reports whether srv meets the requirements of r. The other load of srv counts only
-// for the streams beside r: its prediction is too rough to hold r back, and being slightly
-// late at srv is better for r than being later elsewhere.
+// metBy reports whether srv meets the requirements of r. The other load of srv counts only for the
+// streams next to r: its prediction is too rough to hold r back, and being slightly late at srv is
+// better for r than being later elsewhere.
 func (reqs requirements) metBy(now Time, svc *service, srv *server, r *Request) bool {
 	p := srv.predictIdle(svc, r)
 	if reqs.byDeadline && now+p.total > r.Deadline || reqs.byTarget && now+p.first > r.LatencyTarget {
@@ -58,7 +58,7 @@
 // Engines prefill prompts in chunks between the tokens of the running streams. During a
 // prefill a stream gets one token per chunk: on an engine that is four times slower than the
 // others, a long prompt pauses all its streams for longer than their callers accept. The
-// time of the whole pending prefill is the upper bound for the pause before one event.
+// time of the entire pending prefill is the upper bound for the pause before one event.
 func (s *server) prefillHeadroom(now Time, svc *service) float64 {
 	maxPause := time.Duration(math.MaxInt64)
 	for _, r := range s.runs {
@@ -93,7 +93,7 @@
 //
 // In a burst the longest answers reach the head of the queue last, when they can no longer
 // end before their callers give up. Each would occupy a slot for seconds to no
-// effect while other requests are refused for want of one.
+// effect while other requests are refused for lack of one.
 func (c *candidates) contended(svc *service) bool { return len(c.free) == 1 && svc.queue.size > 1 }
 
 func (c *candidates) update(now Time, svc *service) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// onPlaced updates the candidates after a placement at srv; room tells whether srv can take
+// onPlaced updates the candidates after a placement at srv; room reports whether srv can take
 // another request.
 func (c *candidates) onPlaced(now Time, svc *service, srv *server, room bool) {
 	if !room {
@@ -156,7 +156,7 @@
 	return prediction{prefill: first - s.tokenTime, first: first, total: first + time.Duration(r.OutputTokens)*s.tokenTime}
 }
 
-// idleTimeToFirstEvent is the time until the first event or the whole answer of r from an idle
+// idleTimeToFirstEvent is the time until the first event or the complete answer of r from an idle
 // server with the given token time that has nothing of its prompt cached.
 func (svc *service) idleTimeToFirstEvent(tokenTime time.Duration, r *Request) time.Duration {
 	if !svc.Engine {
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -49,7 +49,7 @@
 // still meet their latency target.
 //
 // With strict priority order the last priority gets nothing through a long overload: its callers are
-// refused twice and give up, although its whole work is a tenth of what the priorities before it take.
+// refused twice and give up, although all its work is a tenth of what the priorities before it take.
 func (s *Scheduler) fillUnderserved(now Time, svc *service, c *candidates) {
 	if s.policy.MinPriorityShare <= 0 || len(svc.queue.priorityQueues) < 2 {
 		return
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -21,7 +21,7 @@
 //
 // With as many placements as slots, each slot is idle from the end of one call until the next one
 // arrives. With calls of 60 ms and hosts in five availability zones this loses a tenth of the
-// servers' capacity, just when callers are refused for want of it. A call that queues in its server
+// servers' capacity, just when callers are refused for lack of it. A call that queues in its server
 // for these few milliseconds is no later than one that waits here. Runs at engines last so long that
 // the loss is negligible.
 func (svc *service) handoverSlots(srv *server) float64 {
--- a/internal/sched/handover_test.go
+++ b/internal/sched/handover_test.go
@@ -123,9 +123,9 @@
 }
 
 var _ = Describe("plain calls in a burst", func() {
-	// Callers are refused for want of a server while each server is idle for a seventh of its time: the home
-	// learns that a slot is free only when the report of the last call's end arrives, and the slot stays
-	// idle until the next call reaches the server.
+	// Callers are refused for lack of a server while each server is idle for a seventh of its time: the
+	// home learns that a slot is free only when the report of the last call's end arrives, and the slot
+	// stays idle until the next call reaches the server.
 	It("keep the slots busy during handovers", func() {
 		with, without := newPlainSimulation(true), newPlainSimulation(false)
 		with.run()
--- a/internal/sched/kept.go
+++ b/internal/sched/kept.go
@@ -20,8 +20,8 @@
 	return conns != nil && conns.idle > 0 && now-conns.at < connectionIdleTimeout
 }
 
-// release records that a run of holder ended with its whole answer, so that its connection
-// is idle.
+// release records that a run of holder ended with its complete answer, so that its connection is
+// idle.
 func (c *idleConnections) release(now Time, holder uint64) {
 	if c.byHolder == nil {
 		c.byHolder = map[uint64]*holderConnections{}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -103,7 +103,7 @@
 // choose returns the candidate at which r costs least, nil when r does better to wait
 // for another server. Under load usually only one server has room, and often a slow
 // one: a request that takes the first one may be late there, or delay the requests
-// beside it, for no gain. A server that does not meet the requirements of r is taken
+// next to it, for no gain. A server that does not meet the requirements of r is taken
 // only if no other would, now or when it has room.
 func (s *Scheduler) choose(now Time, svc *service, c *candidates, r *Request) *server {
 	var best *server
@@ -193,9 +193,10 @@
 // them when units is below 0.
 //
 // A host that gets no answer from its home uses its own share of each quota, while the home
-// goes on giving out the whole quota. A slow home loses the hosts that use it again and
-// again, and accounts exceeded their limits by a twentieth. So what a host placed alone is
-// charged here as soon as it uses the home again, and the account pays the debt back.
+// goes on giving out the whole quota. A slow home repeatedly loses the hosts that use it,
+// and without these charges accounts exceeded their limits by a twentieth. So what a host
+// placed alone is charged here as soon as it uses the home again, and the account pays the
+// debt back.
 func (s *Scheduler) Charge(now Time, account string, units float64) {
 	if b := s.accounts[account]; b != nil {
 		b.charge(now, units)
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("a long stream among engines of different speeds", func() {
 	// In a burst the fast engine is full and the slow one has room. A stream of 1,500 tokens at the
-	// slow one runs for all of its 15 s and is cut off: its caller gets no whole answer, and other
+	// slow one runs for all of its 15 s and is cut off: its caller gets no complete answer, and other
 	// requests were denied the slot.
 	fastAndSlow := func() *Scheduler {
 		s := newScheduler(2, 1)
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -136,7 +136,8 @@
 	// its callers have.
 	plainFailurePenalty = 300 * time.Millisecond
 	crossZoneRTT        = 3 * time.Millisecond // round trip between availability zones
-	// Samples outside these limits are caused by a pause of the host or of the link.
+	// maxTokenTime and minTokenTime bound the samples of the token time: those outside are
+	// caused by a pause of the host or of the link.
 	maxTokenTime = 200 * time.Millisecond
 	minTokenTime = 500 * time.Microsecond
 	// earlyRejectionMaxWait limits early rejection to requests that may wait no longer
--- a/internal/sched/rollout.go
+++ b/internal/sched/rollout.go
@@ -59,7 +59,7 @@
 }
 
 // StartTrial makes this scheduler carry out an order that was given ago before now. resumed
-// tells that it takes the trial over from another scheduler.
+// is set when it takes the trial over from another scheduler.
 func (s *Scheduler) StartTrial(now Time, o rollout.Order, ago time.Duration, resumed bool) {
 	v := s.versionsOf(o.Service)
 	if v.order == nil || v.order.RowVersion != o.RowVersion || v.trial != nil {
@@ -388,6 +388,6 @@
 	return out, false
 }
 
-// abandonedSlowFactor is the multiple of the expected time to the first event, or to the whole
+// abandonedSlowFactor is the multiple of the expected time to the first event, or to the complete
 // answer of a plain call, after which a caller's disconnect counts against the version.
 const abandonedSlowFactor = 4
--- a/internal/sched/rollout_test.go
+++ b/internal/sched/rollout_test.go
@@ -93,7 +93,7 @@
 		Expect(d.usedVersions(3*time.Second, 100)).To(Equal(map[string]int{"v2": 100}))
 	})
 
-	// After a roll-back the old servers end. Nothing may be sent to the version that was rolled
+	// After a rollback the old servers end. Nothing may be sent to the version that was rolled
 	// back, even if all callers are refused.
 	It("get no requests for a version that was rolled back", func() {
 		d.SetOrder(order)
--- a/internal/sched/scheduler.go
+++ b/internal/sched/scheduler.go
@@ -40,7 +40,7 @@
 	versions          *versions
 	queue             queue
 	retryBudget       bucket
-	timeToFirstEvent  durationEstimate // from the placement to the first event or, for a plain call, the whole answer
+	timeToFirstEvent  durationEstimate // from the placement to the first event or, for a plain call, the complete answer
 	typical           time.Duration    // cached result of typicalTokenTime, 0 when it may have changed
 	handoverTime      durationEstimate // of a plain call's placement, beyond the time that its server has the call
 	recurrentPlacedAt Time             // when a recurrent suspect was last placed; see suspects.go
--- a/internal/sched/server.go
+++ b/internal/sched/server.go
@@ -85,7 +85,7 @@
 	return now >= s.backoffs[r.Holder] && !slices.Contains(r.Avoid, s.ID)
 }
 
-// hasMemory reports whether r fits into the engine's KV cache beside the runs there. A
+// hasMemory reports whether r fits into the engine's KV cache together with the runs there. A
 // request larger than the whole KV cache goes to an idle engine, which rejects it.
 func (s *server) hasMemory(svc *service, r *Request) bool {
 	return svc.KVTokens == 0 || s.running == 0 || s.reservedTokens+r.PromptTokens+r.OutputTokens <= svc.KVTokens
--- a/internal/sched/share_test.go
+++ b/internal/sched/share_test.go
@@ -9,8 +9,8 @@
 
 var _ = Describe("quotas of a host that schedules alone", func() {
 	// All hosts are killed and restart. For the half second until they have a home each has a 72nd of
-	// every quota, less than one request needs. Callers far below their limits were told that they are over
-	// their quota, and to retry after the ten seconds in which a 72nd refills.
+	// every quota, less than one request needs. Callers far below their limits were refused as over their
+	// quota, and told to retry after the ten seconds in which a 72nd refills.
 	hostWithoutHome := func() *Scheduler {
 		s := newScheduler(1, 8)
 		s.SetAccounts(0, []Account{{Name: "acc", Rate: 30_000, Burst: 30_000}})
--- a/internal/sched/suspects.go
+++ b/internal/sched/suspects.go
@@ -100,7 +100,7 @@
 	return s.suspects.Recurrent(r.Fingerprint) && svc.recurrentPlacedAt > 0 && now-svc.recurrentPlacedAt < minRecurrentInterval
 }
 
-// hasConflictingSuspect reports whether srv runs a suspect beside which r must not run: both
+// hasConflictingSuspect reports whether srv runs a suspect next to which r must not run: both
 // are suspects, and at least one is recurrent.
 func (s *Scheduler) hasConflictingSuspect(srv *server, r *Request) bool {
 	if !s.suspects.Has(r.Fingerprint) {
--- a/internal/sched/suspects_test.go
+++ b/internal/sched/suspects_test.go
@@ -106,7 +106,7 @@
 	})
 
 	// A supervisor restarts an engine at once. The engine accepts connections when it is probed
-	// after the broken answer, so the answer looks merely lost.
+	// after the broken answer, so the answer looks merely broken.
 	It("is suspected for a server whose next incarnation answers", func() {
 		d := newSuspectsDriver(3)
 		k, server := d.mustPlace(0, f)
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -77,7 +77,7 @@
 	Units         float64 // charged to the account's quota
 	PromptParts   []Part
 	Arrived       Time // when its first holder first requested a placement
-	LatencyTarget Time // for the first event of a stream or the whole answer of a plain call
+	LatencyTarget Time // for the first event of a stream or the complete answer of a plain call
 	// CallerTimeoutAt is when the caller gives up if it has received no event,
 	// 0 if it waits until its deadline. Callers of streams give up well before the deadline.
 	CallerTimeoutAt Time
@@ -97,7 +97,7 @@
 const (
 	// Unused: nothing was sent on the placement.
 	Unused Result = iota
-	// OK: the whole answer arrived.
+	// OK: the complete answer arrived.
 	OK
 	// CallerLeft: the caller disconnected or its deadline passed. This says nothing about the
 	// server.
