--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -33,7 +33,7 @@
 var _ = Describe("the configuration register", func() {
 	var text []byte
 	var p *standin.Platform
-	var newSyncer func(peers configsync.PeerSource) *configsync.Syncer
+	var newSyncer func(peers configsync.FetchFromPeers) *configsync.Syncer
 	BeforeEach(func() {
 		var err error
 		text, err = os.ReadFile("../../examples/demo.yaml")
@@ -41,15 +41,15 @@
 		p = standin.NewPlatform(0)
 		server := httptest.NewServer(p.Handler())
 		DeferCleanup(server.Close)
-		newSyncer = func(peers configsync.PeerSource) *configsync.Syncer {
+		newSyncer = func(peers configsync.FetchFromPeers) *configsync.Syncer {
 			client := httpplatform.New(server.URL, nil, time.Second)
 			DeferCleanup(client.Close)
 			return configsync.New(client, client, peers, event.NewRecorder("h", "1", 100, log.NewNopLogger()))
 		}
 	})
 
-	// Story: four operators change the configuration again and again while the
-	// store loses answers. Cause: a change whose answer was lost may stand.
+	// Four operators change the configuration repeatedly while the store loses answers. A
+	// change whose answer was lost may have taken effect.
 	DescribeTable("is linearizable under racing operators", func(faults standin.PlatformFaults) {
 		p.SetFaults(faults)
 		var mu sync.Mutex
@@ -61,7 +61,7 @@
 				defer GinkgoRecover()
 				for round := range 6 {
 					base := uint64(round)
-					op := history.RegisterOp{Client: operator, Call: time.Now().UnixNano(), Base: base}
+					op := history.RegisterOp{Client: operator, Call: time.Now().UnixNano(), BaseVersion: base}
 					_, err := s.Apply(context.Background(), configsync.Proposal{Base: base, ChangeID: fmt.Sprintf("%d-%d", operator, round), Text: text})
 					op.Return = time.Now().UnixNano()
 					op.Accepted = err == nil
@@ -77,7 +77,7 @@
 		all.Wait()
 		Expect(history.RegisterLinearizable(ops)).To(BeTrue())
 	},
-		Entry("with a sound store", standin.PlatformFaults{}),
+		Entry("with a store without faults", standin.PlatformFaults{}),
 		Entry("with lost answers", standin.PlatformFaults{LoseAnswers: 5}),
 	)
 
@@ -92,9 +92,9 @@
 		Expect(again.Version).To(Equal(first.Version))
 	})
 
-	// Story: a slow peer hands over an old document after a newer one is in
-	// force. Taking it would undo an accepted change.
-	It("never steps back, whoever offers an older version", func() {
+	// A slow peer delivers an old document after a newer one is in force. Applying it would
+	// undo an accepted change.
+	It("never goes back to an older version, whoever offers it", func() {
 		version := uint64(7)
 		s := newSyncer(func(context.Context, uint64) (uint64, string, []byte, error) { return version, "x", text, nil })
 		p.SetFaults(standin.PlatformFaults{TableDown: true})
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -8,20 +8,20 @@
 	"github.com/gentianflow/gentianflow/internal/wire"
 )
 
-// encodeAsk turns an ask into its message. Clocks of hosts differ, so moments
-// travel as durations from the time of sending.
-func encodeAsk(now time.Time, id uint64, a *Ask) *wire.Ask {
+// encodeRequest encodes a placement request. Clocks of hosts differ, so points in time are
+// sent as durations relative to the time of sending.
+func encodeRequest(now time.Time, id uint64, a *PlacementRequest) *wire.Ask {
 	m := &wire.Ask{
 		Id: id, Service: a.Service, Account: a.Account, Priority: uint32(a.Priority),
 		PromptTokens: uint32(a.PromptTokens), OutputTokens: uint32(a.OutputTokens), Units: uint32(a.Units),
-		DeadlineMs: millis(a.Deadline.Sub(now)), AimMs: millis(a.Aim.Sub(now)), WaitedMs: millis(now.Sub(a.Arrived)),
-		PauseMs: millis(a.MaxPause), Repeat: a.Repeat, Avoid: a.Avoid, Fingerprint: a.Fingerprint.Bytes(),
-		Route: a.Route, Repeatable: a.Repeatable,
+		DeadlineMs: millis(a.Deadline.Sub(now)), AimMs: millis(a.LatencyTarget.Sub(now)), WaitedMs: millis(now.Sub(a.Arrived)),
+		PauseMs: millis(a.MaxPause), Repeat: a.Retry, Avoid: a.Avoid, Fingerprint: a.Fingerprint.Bytes(),
+		Route: a.Route, Repeatable: a.Interruptible,
 	}
-	if !a.LeavesAt.IsZero() {
-		m.LeavesMs = max(1, millis(a.LeavesAt.Sub(now)))
+	if !a.CallerTimeoutAt.IsZero() {
+		m.LeavesMs = max(1, millis(a.CallerTimeoutAt.Sub(now)))
 	}
-	for _, p := range a.Parts {
+	for _, p := range a.PromptParts {
 		m.Parts = append(m.Parts, &wire.Part{Key: p.Key, Tokens: uint32(p.Tokens)})
 	}
 	return m
@@ -33,19 +33,19 @@
 
 func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func decodeAsk(now sched.Time, holder uint64, zone string, m *wire.Ask) sched.Request {
+func decodeRequest(now sched.Time, holder uint64, zone string, m *wire.Ask) sched.Request {
 	r := sched.Request{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Zone: zone, Service: m.Service, Account: m.Account,
 		Priority: int(m.Priority), PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens),
-		Units: float64(m.Units), Arrived: now - fromMillis(m.WaitedMs), Aim: now + fromMillis(m.AimMs),
-		Deadline: now + fromMillis(m.DeadlineMs), MaxPause: fromMillis(m.PauseMs), Repeat: m.Repeat, Avoid: m.Avoid, Fingerprint: quarantine.FromBytes(m.Fingerprint),
-		Route: m.Route, Repeatable: m.Repeatable,
+		Units: float64(m.Units), Arrived: now - fromMillis(m.WaitedMs), LatencyTarget: now + fromMillis(m.AimMs),
+		Deadline: now + fromMillis(m.DeadlineMs), MaxPause: fromMillis(m.PauseMs), Retry: m.Repeat, Avoid: m.Avoid, Fingerprint: quarantine.FingerprintFromBytes(m.Fingerprint),
+		Route: m.Route, Interruptible: m.Repeatable,
 	}
 	if m.LeavesMs > 0 {
-		r.LeavesAt = now + fromMillis(m.LeavesMs)
+		r.CallerTimeoutAt = now + fromMillis(m.LeavesMs)
 	}
 	for _, p := range m.Parts {
-		r.Parts = append(r.Parts, sched.Part{Key: p.Key, Tokens: int(p.Tokens)})
+		r.PromptParts = append(r.PromptParts, sched.Part{Key: p.Key, Tokens: int(p.Tokens)})
 	}
 	return r
 }
@@ -53,30 +53,30 @@
 func encodeOutcome(o sched.Outcome) *wire.Outcome {
 	return &wire.Outcome{
 		Id: o.ID, Result: uint32(o.Result),
-		FirstUs: uint32(o.First.Microseconds()), PaceUs: uint32(o.Pace.Microseconds()),
+		FirstUs: uint32(o.FirstEvent.Microseconds()), PaceUs: uint32(o.TokenTime.Microseconds()),
 	}
 }
 
 func decodeOutcome(holder uint64, m *wire.Outcome) sched.Outcome {
 	return sched.Outcome{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Result: sched.Result(m.Result),
-		First: time.Duration(m.FirstUs) * time.Microsecond, Pace: time.Duration(m.PaceUs) * time.Microsecond,
+		FirstEvent: time.Duration(m.FirstUs) * time.Microsecond, TokenTime: time.Duration(m.PaceUs) * time.Microsecond,
 	}
 }
 
 func encodeRunning(now time.Time, id uint64, p *pending) *wire.Running {
 	return &wire.Running{
-		Id: id, Service: p.ask.Service, Server: p.server, PromptTokens: uint32(p.ask.PromptTokens),
-		OutputTokens: uint32(p.ask.OutputTokens), ElapsedMs: millis(now.Sub(p.placed)), PauseMs: millis(p.ask.MaxPause),
-		Account: p.ask.Account, Fingerprint: p.ask.Fingerprint.Bytes(), Repeatable: p.ask.Repeatable,
+		Id: id, Service: p.request.Service, Server: p.server, PromptTokens: uint32(p.request.PromptTokens),
+		OutputTokens: uint32(p.request.OutputTokens), ElapsedMs: millis(now.Sub(p.placedAt)), PauseMs: millis(p.request.MaxPause),
+		Account: p.request.Account, Fingerprint: p.request.Fingerprint.Bytes(), Repeatable: p.request.Interruptible,
 	}
 }
 
-func decodeRunning(holder uint64, m *wire.Running) sched.Run {
-	return sched.Run{
+func decodeRunning(holder uint64, m *wire.Running) sched.AdoptedRun {
+	return sched.AdoptedRun{
 		Key: sched.Key{Holder: holder, ID: m.Id}, Service: m.Service, Server: m.Server,
 		PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens), Elapsed: fromMillis(m.ElapsedMs), MaxPause: fromMillis(m.PauseMs),
-		Account: m.Account, Fingerprint: quarantine.FromBytes(m.Fingerprint), Repeatable: m.Repeatable,
+		Account: m.Account, Fingerprint: quarantine.FingerprintFromBytes(m.Fingerprint), Interruptible: m.Repeatable,
 	}
 }
 
@@ -96,7 +96,7 @@
 	return out
 }
 
-// addDecision puts a decision into the message for its holder.
+// addDecision adds a decision to the message for its holder.
 func addDecision(m *wire.ToHolder, d sched.Decision) {
 	if d.Reason != 0 {
 		m.Refusals = append(m.Refusals, &wire.Refusal{
--- a/internal/dispatch/distrust.go
+++ b/internal/dispatch/distrust.go
@@ -8,34 +8,34 @@
 	"github.com/gentianflow/gentianflow/internal/ident"
 )
 
-// distrustTime is how long a host does not follow a home that it has lost: as long as the
-// membership takes to find that a host has ended without a word.
-const distrustTime = 3 * time.Second
+// lostHomeTimeout is how long a host does not follow a home that it has lost. It matches the
+// time that the membership takes to detect a host that failed without announcing it.
+const lostHomeTimeout = 3 * time.Second
 
-// distrust remembers the homes that this host has lost. mu guards until.
+// lostHomes holds the homes that this host has recently lost. mu guards until.
 //
-// Guard: a host that loses its power is known to have ended after 3 s. All others notice
-// within 0.9 s that it does not place their requests, and decided alone until then: on a
-// day on which the home lost its power in a burst, a third as many callers were served in
-// those seconds. So each goes to the next of the ranking, and that one schedules for all
-// as soon as it has lost the home itself.
-type distrust struct {
+// The membership takes 3 s to detect a host that lost its power; the other hosts notice within
+// 0.9 s that it does not place their requests. If they scheduled locally in between, a power
+// loss of the home during a burst would cut the number of callers served in those seconds to
+// a third. So each host follows the next host of the ranking, which schedules for all as soon
+// as it has lost the home itself.
+type lostHomes struct {
 	mu    sync.Mutex
 	until map[ident.Incarnation]time.Time
 }
 
-func (d *distrust) add(now time.Time, home ident.Incarnation) {
+func (d *lostHomes) add(now time.Time, home ident.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.until == nil {
 		d.until = map[ident.Incarnation]time.Time{}
 	}
 	maps.DeleteFunc(d.until, func(_ ident.Incarnation, until time.Time) bool { return now.After(until) })
-	d.until[home] = now.Add(distrustTime)
+	d.until[home] = now.Add(lostHomeTimeout)
 }
 
-// any reports whether a home was lost lately.
-func (d *distrust) any(now time.Time) bool {
+// any reports whether any home was lost recently.
+func (d *lostHomes) any(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, until := range d.until {
@@ -46,7 +46,8 @@
 	return false
 }
 
-func (d *distrust) has(now time.Time, home ident.Incarnation) bool {
+// has reports whether home was lost recently.
+func (d *lostHomes) has(now time.Time, home ident.Incarnation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return now.Before(d.until[home])
--- a/internal/entry/dialect.go
+++ b/internal/entry/dialect.go
@@ -1,7 +1,11 @@
-// Package entry takes callers' requests over HTTP and holds each from its
-// first byte to its one final answer: it finds the route and account, asks the
-// scheduler for a place, sends the request to the backend server that it
-// names, and passes the answer on.
+// Package entry serves callers' requests over HTTP. For each request it looks up the
+// route and the client account, requests a placement from the scheduler, sends the
+// request to the backend server of the placement and forwards the answer. It holds the
+// request until the caller has its one final answer.
+//
+// Handler is the http.Handler for callers. An exchange is one caller's request, and an
+// attempt is one send of it to one server. The Placer provides the placements, and the
+// Dialect converts the platform's header fields.
 package entry
 
 import (
@@ -12,46 +16,45 @@
 	"github.com/gentianflow/gentianflow/internal/sched"
 )
 
-// Head is what the header of a caller's request tells.
-type Head struct {
-	ID           string        // of this attempt of the caller
-	Deadline     time.Duration // how long the caller waits, 0 when not said
-	Key          string        // of the client account
+// RequestHead is the information in the header of a caller's request.
+type RequestHead struct {
+	ID           string        // of this attempt by the caller
+	Deadline     time.Duration // how long the caller waits, 0 if not given
+	Key          string        // of the client account, empty if not given
 	PromptTokens int
-	OutputTokens int // at most
-	OutputHint   int // the caller's estimate, 0 when not said
-	HasTokens    bool
-	Parts        []sched.Part // of the prompt, in order
+	OutputTokens int          // maximum that the caller allows
+	OutputHint   int          // the caller's estimate, 0 if not given
+	HasTokens    bool         // the token counts are given
+	PromptParts  []sched.Part // of the prompt, in order
 }
 
-// ServerHead is what the header of a request to a backend server says beyond
-// what the caller sent.
+// ServerHead is the information that the header of a request to a backend server has
+// in addition to what the caller sent.
 type ServerHead struct {
-	Deadline  time.Duration // left
-	Instance  string        // the incarnation that is to run it
-	Account   string        // empty: the route is open to all
-	HideKey   bool          // the account's key is not passed on
-	LastEvent string        // resume behind this event; empty: as the caller sent it
+	Deadline    time.Duration // time left
+	Incarnation string        // the server incarnation that is to run the request
+	Account     string        // empty on a public route
+	HideKey     bool          // do not forward the account's key
+	LastEvent   string        // resume after this event; empty: as the caller sent it
 }
 
-// Answer is what the header of a backend server's answer tells.
-type Answer struct {
-	ID     string // of the request that it answers, empty when not said
+// AnswerHead is the information in the header of a backend server's answer.
+type AnswerHead struct {
+	ID     string // of the answered request, empty if not given
 	NotRun bool   // the server states that it did not run the request
-	Sealed bool   // it bears the server's own signature
+	Signed bool   // has the server's own signature
 	Notice notice.Notice
 }
 
 // Dialect reads and writes the header fields of the platform.
 type Dialect interface {
-	// ReadRequest reads a caller's header. Fields that cannot be read count as
-	// not said.
-	ReadRequest(h http.Header) Head
-	// WriteRequest turns a caller's header into one for a backend server.
+	// ReadRequest reads a caller's header. Fields that cannot be parsed count as not given.
+	ReadRequest(h http.Header) RequestHead
+	// WriteRequest converts a caller's header to one for a backend server.
 	WriteRequest(caller http.Header, s ServerHead) http.Header
-	// ReadAnswer reads a backend server's header. What cannot be read of its notice counts as
-	// not said.
-	ReadAnswer(h http.Header) Answer
-	// WriteAnswer names the request in the header of an answer of our own.
+	// ReadAnswer reads a backend server's header. Fields of its notice that cannot be
+	// parsed count as not given.
+	ReadAnswer(h http.Header) AnswerHead
+	// WriteAnswer sets the request's id in the header of an answer that this host generates.
 	WriteAnswer(h http.Header, id string)
 }
--- a/internal/entry/notice.go
+++ b/internal/entry/notice.go
@@ -7,37 +7,37 @@
 	"github.com/gentianflow/gentianflow/internal/notice"
 )
 
-// hear takes what an answer says of its server.
-func (x *exchange) hear(server string, n notice.Notice) {
-	change, changed := x.h.Places.Hear(server, n)
+// recordNotice records the notice in a server's answer and the events of its changes.
+func (x *exchange) recordNotice(server string, n notice.Notice) {
+	change, changed := x.h.Placer.RecordNotice(server, n)
 	if !changed {
 		return
 	}
 	f := event.Fields{Request: x.head.ID, Service: x.service, Server: server}
-	if limit, changed := change.Limit(); changed {
+	if limit, changed := change.LimitChange(); changed {
 		f.Detail = limit
 		x.h.Events.Record(event.ServerLimit, f)
 	}
-	if change.Leaves() {
-		f.Detail = "by an answer"
+	if change.StartsLeaving() {
+		f.Detail = "in an answer to this host"
 		x.h.Events.Record(event.ServerLeaves, f)
 	}
 }
 
-// describe tells what a server has said of itself, for the lines of requests.
-func describe(now time.Time, s notice.Standing) string {
+// noticeFields formats a server's notice for the events of requests.
+func noticeFields(now time.Time, s notice.State) string {
 	text := ""
-	if s.Limit.Named {
+	if s.Limit.Valid {
 		text += " limit=" + s.Limit.String()
 	}
 	if s.Leaving {
 		text += " leaving"
 	}
-	if rest := s.Rest(now); rest > 0 {
-		text += " rests=" + milliseconds(rest)
+	if backoff := s.Backoff(now); backoff > 0 {
+		text += " rests=" + formatDuration(backoff)
 	}
 	if text != "" {
-		text += " said=" + milliseconds(s.Age(now))
+		text += " said=" + formatDuration(s.Age(now))
 	}
 	return text
 }
--- a/internal/ident/names.go
+++ b/internal/ident/names.go
@@ -2,15 +2,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ServerID and AccountID stand for names in hot messages: four bytes in
-// place of a text. The configuration check refuses two names with one id.
+// ServerID and AccountID are four-byte hashes that replace names in frequent
+// messages. Two names must not have the same id; the configuration check
+// rejects equal names but does not compare the ids.
 type (
 	ServerID  uint32
 	AccountID uint32
 )
 
-// Server returns the id of a backend server's name.
-func Server(name string) ServerID { return ServerID(xxhash.Sum64String(name)) }
+// ServerIDOf returns the id of a backend server's name.
+func ServerIDOf(name string) ServerID { return ServerID(xxhash.Sum64String(name)) }
 
-// Account returns the id of a client account's name.
-func Account(name string) AccountID { return AccountID(xxhash.Sum64String(name)) }
+// AccountIDOf returns the id of a client account's name.
+func AccountIDOf(name string) AccountID { return AccountID(xxhash.Sum64String(name)) }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,4 +1,5 @@
-// Package notice keeps what backend servers say of themselves in their answers.
+// Package notice holds server notices: what backend servers state about themselves in the
+// header of their answers. A Table holds the current notice of each server.
 package notice
 
 import (
@@ -6,53 +7,54 @@
 	"time"
 )
 
-// Notice is what one answer says of its server.
+// Notice is what one answer states about its server.
 type Notice struct {
 	Limit   Limit
-	Leaving bool // it takes nothing new
-	// Rest is for how long it wants nothing more from the host that it turned away with this
-	// answer, 0 when it asks for none.
-	Rest time.Duration
+	Leaving bool // the server accepts no new requests
+	// Backoff is how long the server asks the host that it rejected with this answer to send
+	// it no requests, 0 if it asks for none.
+	Backoff time.Duration
 }
 
-// MaxRest bounds the rest that a server is granted on its word alone.
-const MaxRest = 5 * time.Minute
+// MaxBackoff is the longest backoff that a server is granted on its own statement alone.
+const MaxBackoff = 5 * time.Minute
 
-// KeptUnlisted is how long the word of a server is kept that is not listed: it may be heard
-// before its entry is, and its entry may lapse for a moment.
-const KeptUnlisted = time.Minute
+// UnlistedRetention is how long the notice of an unlisted server is kept: it may arrive before
+// the server's entry in the server list, and that entry may lapse for a moment.
+const UnlistedRetention = time.Minute
 
-// Limit is how many requests a server takes from all hosts together. The zero value is none.
+// Limit is the rate of requests that a server accepts from all hosts together. The zero
+// value means no limit.
 type Limit struct {
-	Named     bool
+	Valid     bool
 	PerSecond float64
 }
 
 // String implements fmt.Stringer.
 func (l Limit) String() string {
-	if !l.Named {
+	if !l.Valid {
 		return "none"
 	}
 	return strconv.FormatFloat(l.PerSecond, 'g', 4, 64) + "/s"
 }
 
-// Record is what a server said, and how long ago.
+// Record is the notice of a server and its age.
 type Record struct {
 	Server string
 	Notice
 	Age time.Duration
 }
 
-// Change is what a server says, and what it said before.
+// Change is the notice of a server before and after an answer.
 type Change struct {
 	Server        string
 	Before, After Notice
 }
 
-// Limit reports whether the limit has changed, and to what, for logs.
-func (c Change) Limit() (text string, changed bool) {
+// LimitChange reports whether the limit has changed, and describes the change for logs.
+func (c Change) LimitChange() (text string, changed bool) {
 	return "limit=" + c.After.Limit.String() + " was=" + c.Before.Limit.String(), c.After.Limit != c.Before.Limit
 }
 
-// Leaves reports whether the server says for the first time that it leaves.
-func (c Change) Leaves() bool { return c.After.Leaving && !c.Before.Leaving }
+// StartsLeaving reports whether the server states for the first time that it is leaving.
+func (c Change) StartsLeaving() bool { return c.After.Leaving && !c.Before.Leaving }
--- a/internal/notice/table.go
+++ b/internal/notice/table.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// Standing is what a server says of itself, and since when that is known.
-type Standing struct {
-	Notice              // without Rest
-	Heard     time.Time // in the newest answer that says so
-	RestsTill time.Time // zero: it has asked for no rest
+// State is the current notice of a server and the time of its newest answer.
+type State struct {
+	Notice                 // its Backoff is 0, see BackoffUntil
+	ReceivedAt   time.Time // when the newest answer arrived
+	BackoffUntil time.Time // zero if the server has asked for no backoff
 }
 
-// Rest is for how much longer the server wants nothing from this host.
-func (s Standing) Rest(now time.Time) time.Duration { return max(0, s.RestsTill.Sub(now)) }
+// Backoff returns the remaining backoff that the server asked of this host.
+func (s State) Backoff(now time.Time) time.Duration { return max(0, s.BackoffUntil.Sub(now)) }
 
-// Age is how long ago the server said so last.
-func (s Standing) Age(now time.Time) time.Duration { return now.Sub(s.Heard) }
+// Age returns the time since the server's newest answer.
+func (s State) Age(now time.Time) time.Duration { return now.Sub(s.ReceivedAt) }
 
-// Record is the standing as it is told to others.
-func (s Standing) Record(server string, now time.Time) Record {
+// Record returns the state in the form that is sent to other hosts.
+func (s State) Record(server string, now time.Time) Record {
 	n := s.Notice
-	n.Rest = s.Rest(now)
+	n.Backoff = s.Backoff(now)
 	return Record{Server: server, Notice: n, Age: s.Age(now)}
 }
 
-// Table is what servers have said to this host. Those that have said nothing are not in it.
-// mu guards all fields.
+// Table holds the notices that this host got from servers. Servers that stated nothing are
+// not in it. mu guards all fields.
 type Table struct {
 	mu      sync.Mutex
-	servers map[string]Standing
+	servers map[string]State
 }
 
-// NewTable makes an empty table.
-func NewTable() *Table { return &Table{servers: map[string]Standing{}} }
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{servers: map[string]State{}} }
 
-// Hear takes what an answer says. A server that leaves does not come back: it says so for
-// good. A rest is not ended by another one that is shorter, nor by answers to what was sent
-// before.
-func (t *Table) Hear(now time.Time, server string, n Notice) (c Change, changed bool) {
+// Update records the notice in an answer and reports whether it differs from the one recorded
+// before. Leaving is permanent, since a leaving server does not come back. A backoff is not
+// shortened by a later one that ends sooner, nor ended by answers to requests that were sent
+// before it.
+func (t *Table) Update(now time.Time, server string, n Notice) (c Change, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.servers[server]
@@ -48,23 +49,23 @@
 	if !ok && n == (Notice{}) {
 		return c, false
 	}
-	till := known.RestsTill
-	if rests := now.Add(n.Rest); n.Rest > 0 && rests.After(till) {
-		till = rests
+	backoffUntil := known.BackoffUntil
+	if until := now.Add(n.Backoff); n.Backoff > 0 && until.After(backoffUntil) {
+		backoffUntil = until
 	}
-	n.Rest = 0
-	t.servers[server] = Standing{Notice: n, Heard: now, RestsTill: till}
+	n.Backoff = 0
+	t.servers[server] = State{Notice: n, ReceivedAt: now, BackoffUntil: backoffUntil}
 	return c, c.Before != c.After
 }
 
-// Of returns what a server has said last.
-func (t *Table) Of(server string) Standing {
+// Get returns the state of a server, the zero State if it has stated nothing.
+func (t *Table) Get(server string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.servers[server]
 }
 
-// All lists what servers have said.
+// All returns the records of all servers in the table.
 func (t *Table) All(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,18 +76,18 @@
 	return out
 }
 
-// Counts tells how many servers say what of themselves.
-type Counts struct{ Limited, Leaving, Resting int }
+// Counts holds the numbers of servers with a limit, leaving, and in backoff.
+type Counts struct{ Limited, Leaving, BackingOff int }
 
-// Count counts what servers say of themselves.
+// Count counts the servers by what they state.
 func (t *Table) Count(now time.Time) (c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.servers {
-		if s.Rest(now) > 0 {
-			c.Resting++
+		if s.Backoff(now) > 0 {
+			c.BackingOff++
 		}
-		if s.Limit.Named {
+		if s.Limit.Valid {
 			c.Limited++
 		}
 		if s.Leaving {
@@ -96,12 +97,12 @@
 	return c
 }
 
-// Retain forgets the servers that have said nothing for KeptUnlisted and that listed does not
-// report.
+// Retain removes the servers for which listed returns false and whose newest answer is older
+// than UnlistedRetention.
 func (t *Table) Retain(now time.Time, listed func(server string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.servers, func(server string, s Standing) bool {
-		return s.Age(now) > KeptUnlisted && !listed(server)
+	maps.DeleteFunc(t.servers, func(server string, s State) bool {
+		return s.Age(now) > UnlistedRetention && !listed(server)
 	})
 }
--- a/internal/prefix/seen.go
+++ b/internal/prefix/seen.go
@@ -6,26 +6,26 @@
 	"github.com/gentianflow/gentianflow/internal/failure"
 )
 
-// Seen finds the shared part of prompts: the longest chain of blocks that an
-// earlier prompt on this host began with. Safe for concurrent use.
-type Seen struct {
+// BlockSet is an LRU set of prompt blocks that finds the longest prefix which a
+// prompt shares with earlier prompts on this host. It is safe for concurrent use.
+type BlockSet struct {
 	blocks *lru.Cache[Key, struct{}]
 }
 
-// NewSeen remembers up to size blocks, about 50 bytes each.
-func NewSeen(size int) (*Seen, error) {
+// NewBlockSet returns a BlockSet for up to size blocks of about 50 bytes each.
+func NewBlockSet(size int) (*BlockSet, error) {
 	c, err := lru.New[Key, struct{}](size)
 	if err != nil {
-		return nil, failure.Wrap(failure.BadSetting, err, "prefix memory of %d blocks", size)
+		return nil, failure.Wrap(failure.BadSetting, err, "prefix set for %d blocks", size)
 	}
-	return &Seen{blocks: c}, nil
+	return &BlockSet{blocks: c}, nil
 }
 
-// Observe remembers the prompt and returns the key and length in tokens of
-// the prefix it shares with earlier ones; key 0 when it shares none. The
-// first prompt of a kind therefore has no key: one miss for each new prefix
-// and host is the price of not being told prefixes by the callers.
-func (s *Seen) Observe(prompt string) (Key, int) {
+// Observe adds a prompt and returns the key and the length in tokens of the
+// prefix that it shares with earlier prompts, or key 0 if it shares none. The
+// first prompt with a prefix therefore has no key: its caller did not state the
+// prefix (see KeyAt), which costs one miss for each new prefix and host.
+func (s *BlockSet) Observe(prompt string) (Key, int) {
 	chain := Chain(prompt)
 	shared := 0
 	for i, k := range chain {
@@ -43,10 +43,10 @@
 	return chain[shared-1], shared * BlockTokens
 }
 
-// Whole returns the key of all whole blocks of the prompt, which the server
-// holds after it computed the prompt; a follow-up that repeats the prompt
-// and goes on shares exactly these blocks.
-func Whole(prompt string) Key {
+// FullKey returns the key at the end of a prompt's last full block, or 0 if it has
+// none. The server has these blocks cached after it computed the prompt; a
+// follow-up that extends the prompt shares exactly them.
+func FullKey(prompt string) Key {
 	chain := Chain(prompt)
 	if len(chain) == 0 {
 		return 0
@@ -54,8 +54,9 @@
 	return chain[len(chain)-1]
 }
 
-// At returns the key of a prefix whose length in tokens the caller states.
-func At(prompt string, tokens int) (Key, int) {
+// KeyAt returns the key and the length in tokens, rounded down to full blocks, of a
+// prefix whose length the caller states.
+func KeyAt(prompt string, tokens int) (Key, int) {
 	chain := Chain(prompt)
 	blocks := min(tokens/BlockTokens, len(chain))
 	if blocks == 0 {
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// Tier sums up one tier, or one client account.
-type Tier struct {
+// Tally is the result of one tier or one client account.
+type Tally struct {
 	Number  int
 	Offered int
 	InTime  int
 	Late    int
 	Shed    int
-	// Waits are the whole times of answers, sorted.
+	// Waits holds the times from arrival to the end of the answer, shortest first.
 	Waits []time.Duration
 }
 
-// Goodput is the share answered whole within its deadline.
-func (t Tier) Goodput() float64 {
+// Goodput returns the share of the requests answered in full before their deadline.
+func (t Tally) Goodput() float64 {
 	if t.Offered == 0 {
 		return 0
 	}
 	return float64(t.InTime) / float64(t.Offered)
 }
 
-// P99 is the 99th percentile of the time to the whole answer.
-func (t Tier) P99() time.Duration {
+// P99 returns the 99th percentile of the time from arrival to the end of the answer.
+func (t Tally) P99() time.Duration {
 	if len(t.Waits) == 0 {
 		return 0
 	}
 	return t.Waits[len(t.Waits)*99/100]
 }
 
-// Result is what came of a trace.
+// Result is the result of replaying a trace.
 type Result struct {
-	Tiers    map[int]*Tier
-	Accounts map[int]*Tier
-	Computed int // prompt tokens
-	Repeated int // computed though another server held them
-	Unread   int // computed for answers that came late
-	// Dispatches are the times at which each server was sent a request.
+	Tiers       map[int]*Tally
+	Accounts    map[int]*Tally
+	Computed    int // prompt tokens that were computed
+	Repeated    int // of them, tokens that another server had cached
+	Undelivered int // of the others, tokens computed for late answers
+	// Dispatches holds the times at which each server received requests.
 	Dispatches map[string][]time.Duration
-	Ended      time.Duration
+	EndedAt    time.Duration // time of the last event
 }
 
-// Wasted is the share of the computed prompt tokens that was of no use.
+// Wasted returns the share of the computed prompt tokens that were repeated or undelivered.
 func (r Result) Wasted() float64 {
 	if r.Computed == 0 {
 		return 0
 	}
-	return float64(r.Repeated+r.Unread) / float64(r.Computed)
+	return float64(r.Repeated+r.Undelivered) / float64(r.Computed)
 }
 
-// DispatchedBetween counts the requests sent to a server in a span of time.
+// DispatchedBetween returns the number of requests that a server received between two times.
 func (r Result) DispatchedBetween(server string, from, to time.Duration) int {
 	n := 0
 	for _, at := range r.Dispatches[server] {
@@ -64,8 +64,8 @@
 	return n
 }
 
-// Numbers lists the tiers, most urgent first.
-func (r Result) Numbers() []int {
+// TierNumbers returns the numbers of the tiers, most urgent first.
+func (r Result) TierNumbers() []int {
 	var out []int
 	for n := range r.Tiers {
 		out = append(out, n)
@@ -74,20 +74,21 @@
 	return out
 }
 
-func at(m *map[int]*Tier, n int) *Tier {
+// tallyOf returns the tally with a number and adds it if it is missing.
+func tallyOf(m *map[int]*Tally, n int) *Tally {
 	if *m == nil {
-		*m = map[int]*Tier{}
+		*m = map[int]*Tally{}
 	}
 	t := (*m)[n]
 	if t == nil {
-		t = &Tier{Number: n}
+		t = &Tally{Number: n}
 		(*m)[n] = t
 	}
 	return t
 }
 
-func (r *Result) note(a *Line, o outcome, now time.Duration) {
-	for _, t := range []*Tier{at(&r.Tiers, a.Tier), at(&r.Accounts, a.Account)} {
+func (r *Result) addOutcome(a *Line, o outcome, now time.Duration) {
+	for _, t := range []*Tally{tallyOf(&r.Tiers, a.Tier), tallyOf(&r.Accounts, a.Account)} {
 		t.Offered++
 		switch o {
 		case inTime:
@@ -102,27 +103,28 @@
 	}
 }
 
-func (r *Result) prefill(j *job, o outcome) {
+func (r *Result) addPrefill(j *job, o outcome) {
 	r.Computed += j.computed
 	r.Repeated += j.repeated
 	if o == late {
-		r.Unread += j.computed - j.repeated
+		r.Undelivered += j.computed - j.repeated
 	}
 }
 
+// finish completes the result after the last event.
 func (r *Result) finish(x *run) {
-	r.Ended = x.lastAt
-	for _, m := range []map[int]*Tier{r.Tiers, r.Accounts} {
+	r.EndedAt = x.endedAt
+	for _, m := range []map[int]*Tally{r.Tiers, r.Accounts} {
 		for _, t := range m {
 			sort.Slice(t.Waits, func(i, j int) bool { return t.Waits[i] < t.Waits[j] })
 		}
 	}
 }
 
-// Stated returns the lines that state this result.
-func (r Result) Stated() []Line {
+// ExpectLines returns the lines of a trace that state this result.
+func (r Result) ExpectLines() []Line {
 	var out []Line
-	for _, n := range r.Numbers() {
+	for _, n := range r.TierNumbers() {
 		t := r.Tiers[n]
 		out = append(out, Line{Kind: LineExpect, Tier: n, Offered: t.Offered, InTime: t.InTime, Late: t.Late, Shed: t.Shed})
 	}
@@ -133,14 +135,14 @@
 	return out
 }
 
-// Differences compares the result with the outcomes that a trace states.
+// Differences describes how the result differs from the outcomes that the trace states.
 func (r Result) Differences(t Trace) []string {
 	var out []string
 	for _, l := range t.Lines {
 		if l.Kind != LineExpect {
 			continue
 		}
-		what, got := fmt.Sprintf("tier %d", l.Tier), Tier{}
+		what, got := fmt.Sprintf("tier %d", l.Tier), Tally{}
 		if l.Account > 0 {
 			what = fmt.Sprintf("account %d", l.Account)
 			if v := r.Accounts[l.Account]; v != nil {
--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Check lists what is wrong with a configuration, one line each that names the
-// item and what is allowed; none when it is sound. Hosts take what the store
-// accepted; this is for operators before they write it.
+// Check returns the errors in a configuration, one line each with the item and what is
+// allowed; none if it is valid. It is for operators before they write a configuration;
+// hosts use any configuration that the store accepted.
 func (c *Config) Check() (faults []string) {
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	services := map[string]bool{}
@@ -23,11 +23,11 @@
 		for _, text := range r.check(services) {
 			fault("route %q: %s", r.Name, text)
 		}
-		at := strings.ToLower(r.Host) + r.Prefix
-		if first, taken := prefixes[at]; taken {
+		hostAndPrefix := strings.ToLower(r.Host) + r.Prefix
+		if first, taken := prefixes[hostAndPrefix]; taken {
 			fault("route %q has the host and prefix of route %q", r.Name, first)
 		}
-		prefixes[at] = r.Name
+		prefixes[hostAndPrefix] = r.Name
 	}
 	keys := map[string]string{}
 	for i := range c.Accounts {
@@ -36,8 +36,8 @@
 			fault("account %q: rate and burst are 0 (no limit) or more", a.Name)
 		}
 		for _, key := range a.Keys {
-			if holder, taken := keys[key]; taken {
-				fault("account %q has a key of account %q", a.Name, holder)
+			if owner, taken := keys[key]; taken {
+				fault("account %q has a key of account %q", a.Name, owner)
 			}
 			keys[key] = a.Name
 		}
@@ -53,8 +53,8 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		fault("prefix %q must begin and end with a slash", r.Prefix)
 	}
-	if r.Aim > 0 && r.Timeout > 0 && r.Aim > r.Timeout {
-		fault("its latency objective %s is longer than its timeout %s", r.Aim, r.Timeout)
+	if r.LatencyTarget > 0 && r.Timeout > 0 && r.LatencyTarget > r.Timeout {
+		fault("its latency objective %s is longer than its timeout %s", r.LatencyTarget, r.Timeout)
 	}
 	total := 0
 	for _, t := range r.Targets {
